--- a/bench/run-policy.ts
+++ b/bench/run-policy.ts
@@ -1,6 +1,6 @@
 import { planArrivals } from '../src/load/plan-arrivals.js'
 import { runLoad } from '../src/load/run-load.js'
-import { limitIdle } from '../src/ownership/limit-idle.js'
+import { limitIdleStreams } from '../src/ownership/limit-idle-streams.js'
 import { summarizeIdle } from './summarize-idle.js'
 import { startBenchFleet } from './bench-fleet.js'
 import type { Policy } from './policy.js'
@@ -42,7 +42,7 @@
       outcomes,
       work,
       seconds,
-      idleAccounts: logs.map(log => summarizeIdle(log, { ...engineOptions, since, until, full: FULL, allowed: limitIdle(FULL) })),
+      idleAccounts: logs.map(log => summarizeIdle(log, { ...engineOptions, since, until, full: FULL, allowed: limitIdleStreams(FULL) })),
       missedStarts: await countMissedStarts(fleet),
       idleShare: idle.reduce((sum, share) => sum + share, 0) / idle.length,
       batchRate: (work.batchTokens - work.wastedTokens) / seconds,
--- a/src/admission/account-questions.ts
+++ b/src/admission/account-questions.ts
@@ -6,7 +6,7 @@
 import type { Settings } from '../kernel/settings.js'
 import { tokens } from '../kernel/tokens.js'
 import { listOthers } from '../peers/list-others.js'
-import { MemberQuestions } from '../peers/member-questions.js'
+import { MemberQueries } from '../peers/member-queries.js'
 import { Members } from '../peers/members.js'
 import { PeerLinks } from '../peers/peer-links.js'
 import type { PeerMessage } from '../peers/peer-message.js'
@@ -35,7 +35,7 @@
 @scoped(Lifecycle.ContainerScoped)
 export class AccountQuestions implements Part {
   readonly extensions: readonly Extension[]
-  private readonly questions: MemberQuestions<Parts>
+  private readonly questions: MemberQueries<Parts>
 
   constructor (
     @inject(AccountFlush) private readonly flush: AccountFlush,
@@ -44,7 +44,7 @@
     @inject(tokens.settings) private readonly settings: Settings,
     @inject(tokens.clock) clock: Clock
   ) {
-    this.questions = new MemberQuestions({ links, clock, question: QUESTION, answer: ANSWER, timeout: TIMEOUT, concurrency: CONCURRENCY, tell: async () => await this.tell(), read: readOwn })
+    this.questions = new MemberQueries({ links, clock, requestType: QUESTION, answerType: ANSWER, timeout: TIMEOUT, concurrency: CONCURRENCY, handle: async () => await this.tell(), read: readOwn })
     this.extensions = this.questions.extensions
   }
 
@@ -56,7 +56,7 @@
 
   /** What every daemon has counted, this one among them. */
   async askAll (): Promise<Told> {
-    const { answers, silent } = await this.questions.ask(listOthers(this.members.all(), this.settings.instance))
+    const { answers, unresponsive: silent } = await this.questions.ask(listOthers(this.members.all(), this.settings.instance))
     return { parts: Object.assign({}, await this.flush.peek(), ...answers.values()), silent }
   }
 
--- a/src/admission/account-reader.ts
+++ b/src/admission/account-reader.ts
@@ -11,7 +11,7 @@
 import { mergeTold } from './merge-told.js'
 import type { MergedAccount } from './merged-account.js'
 import { readAll } from './read-all.js'
-import { showDay } from './show-day.js'
+import { formatDay } from './format-day.js'
 
 const DAY = 86_400_000
 
@@ -44,17 +44,17 @@
 
   /** What isn't flushed is of today, or in the first moments after midnight of yesterday. */
   private mayBeOpen (until: string | undefined): boolean {
-    return until === undefined || until >= showDay(this.clock.date() - DAY)
+    return until === undefined || until >= formatDay(this.clock.date() - DAY)
   }
 
   /** Counts of this daemon since its start. They are shown for today only, or a report by days would have them on each. */
   private readOwn (since = '', until = '9'): Pick<MergedAccount, 'rows' | 'times'> {
-    const today = showDay(this.clock.date())
+    const today = formatDay(this.clock.date())
     return since <= today && today <= until ? { rows: this.account.read(), times: this.account.readTimes() } : { rows: {}, times: {} }
   }
 
   private async readDays (since: string | undefined, until: string | undefined): Promise<readonly AccountDay[] | undefined> {
-    const prefixes = since === undefined ? [''] : listDays(since, until ?? showDay(this.clock.date() + DAY)).map(day => `${day}.`)
+    const prefixes = since === undefined ? [''] : listDays(since, until ?? formatDay(this.clock.date() + DAY)).map(day => `${day}.`)
     const days: AccountDay[] = []
     for (const prefix of prefixes) {
       const read = await readAll<AccountDay>(this.store, 'account-day', prefix)
--- a/src/admission/account-writer.ts
+++ b/src/admission/account-writer.ts
@@ -8,7 +8,7 @@
 import { filterChanged } from './filter-changed.js'
 import { findShard } from './find-shard.js'
 import { planFlush } from './plan-flush.js'
-import { showDay } from './show-day.js'
+import { formatDay } from './format-day.js'
 
 const KIND = 'account'
 const DAY = 'account-day'
@@ -48,7 +48,7 @@
   private longestGap = 0
 
   constructor (private readonly options: AccountWriterOptions) {
-    this.day = showDay(options.started)
+    this.day = formatDay(options.started)
     this.last = { askedOnline: 0, date: options.started }
   }
 
@@ -57,7 +57,7 @@
    * up by an outage: with a later one, what was counted since midnight would stand on the day before.
    */
   isDayOver (date: number): boolean {
-    return this.turn === undefined && showDay(date) > this.day
+    return this.turn === undefined && formatDay(date) > this.day
   }
 
   /** Keeps the sample with which the part's day ends. */
@@ -93,7 +93,7 @@
     const own = this.build(turn ?? sample, turn !== undefined)
     const changed = { ...own, rows: filterChanged(own.rows, this.flushed.rows), times: filterChanged(own.times, this.flushed.times) }
     if (turn === undefined) return { [this.name]: changed }
-    const rest = { ...own, ...findRest(sample, turn), day: showDay(sample.date), flushedAt: sample.date, closed: false, sample: ++this.samples }
+    const rest = { ...own, ...findRest(sample, turn), day: formatDay(sample.date), flushedAt: sample.date, closed: false, sample: ++this.samples }
     return { [this.name]: changed, [this.getName(this.number + 1)]: rest }
   }
 
@@ -171,7 +171,7 @@
     this.earlier = { rows: addRows(this.earlier.rows, this.flushed.rows), times: addTimes(this.earlier.times, this.flushed.times) }
     this.flushed = none
     this.unsettled = []
-    this.day = showDay(date)
+    this.day = formatDay(date)
     this.turn = undefined
     this.number++
     this.version = 0
--- a/src/admission/busy-shares.ts
+++ b/src/admission/busy-shares.ts
@@ -1,4 +1,4 @@
-import { splitEntitled } from './split-entitled.js'
+import { splitEntitlements } from './split-entitlements.js'
 
 interface Held { readonly caller: string, readonly service: string, readonly share: number }
 
@@ -38,7 +38,7 @@
     this.begin = now
     this.had = new Map()
     if (!had.some(({ waited }) => waited)) return []
-    const entitled = splitEntitled(had)
+    const entitled = splitEntitlements(had)
     return had.map(({ caller, service, got }, i) => ({ caller, service, got, entitled: entitled[i]! }))
   }
 
--- a/src/admission/show-day.ts
+++ b/src/admission/format-day.ts
@@ -1,4 +1,4 @@
 /** The UTC day of a wall-clock time in ms, as YYYY-MM-DD. */
-export function showDay (date: number): string {
+export function formatDay (date: number): string {
   return new Date(date).toISOString().slice(0, 10)
 }
--- a/src/admission/gate.ts
+++ b/src/admission/gate.ts
@@ -69,7 +69,7 @@
     const queue = this.readQueue(request.pool)
     const { pool, caller } = request
     const own = this.configuration.value.callers[caller]?.share ?? DEFAULT_SHARE
-    const waits = queue.size > 0 || !this.dispatcher.hasPlace(request)
+    const waits = queue.size > 0 || !this.dispatcher.hasCapacity(request)
     this.shares.count(pool, caller, { share: own, queue, waits })
     const share = own * this.shares.getFactor(pool, caller)
     if (waits) {
@@ -99,7 +99,7 @@
       }
       const refuse = (cause: Refusal['cause'], retryAfter: number): void => settle(Err(this.refuse(cause, retryAfter)))
       const start = (cost: number): void => settle(this.run(queue, share, request, cost))
-      const hasPlace = (): boolean => this.dispatcher.hasPlace(request)
+      const hasPlace = (): boolean => this.dispatcher.hasCapacity(request)
       const leave = queue.add({ caller, share, deadline, hasPlace, start, refuse }, asked)
       if (settled) return
       this.look.wake()
--- a/src/admission/pool-queue.ts
+++ b/src/admission/pool-queue.ts
@@ -44,7 +44,7 @@
   constructor (private readonly options: PoolQueueOptions) {}
 
   /** Expected time of a place, ms. */
-  get hold (): number {
+  get holdTime (): number {
     return this.cost
   }
 
--- a/src/admission/pool-shares.ts
+++ b/src/admission/pool-shares.ts
@@ -12,7 +12,7 @@
 import { Servers } from '../routing/servers.js'
 import { DemandMeter } from './demand-meter.js'
 import type { PoolDemand } from './pool-demand.js'
-import type { PoolPart } from './pool-part.js'
+import type { PoolAllocation } from './pool-allocation.js'
 import { splitPool } from './split-pool.js'
 
 const SHORTEST_PERIOD = 500
@@ -32,7 +32,7 @@
 
 interface DemandSource {
   /** Expected time of a place, ms. */
-  readonly hold: number
+  readonly holdTime: number
   /** By caller: requests that wait. */
   countWaiting (): ReadonlyMap<string, number>
 }
@@ -41,7 +41,7 @@
   readonly meter: DemandMeter
   queue?: DemandSource
   crowded: boolean
-  part?: PoolPart & { readonly until: number }
+  part?: PoolAllocation & { readonly until: number }
 }
 
 /** Another daemon's demand, at the one that splits the pool. */
@@ -111,7 +111,7 @@
     const now = this.clock.now()
     const owners = this.members.owners()
     for (const [pool, state] of this.pools) {
-      const demand = state.meter.read(now - this.last, state.queue?.hold ?? 0, state.queue?.countWaiting())
+      const demand = state.meter.read(now - this.last, state.queue?.holdTime ?? 0, state.queue?.countWaiting())
       if (state.part !== undefined && state.part.until <= now) this.drop(pool)
       if (owners.length > 1 && (state.crowded || state.part !== undefined)) this.tell(pool, demand, state.crowded)
       state.crowded = false
@@ -159,7 +159,7 @@
       if (isSplitter) for (const daemon of owners) this.give(daemon, { type: 'pool-part', pool, over: true })
       return
     }
-    const places = this.servers.countPlaces(pool)
+    const places = this.servers.sumLimits(pool)
     const parts = places === undefined || told.size < owners.length ? undefined : splitPool(new Map([...told].map(([daemon, { demand }]) => [daemon, demand])), places)
     for (const daemon of owners) {
       const { fraction = 1 / owners.length, factors = new Map<string, number>() } = parts?.get(daemon) ?? {}
@@ -181,7 +181,7 @@
     const rows = factors as ReadonlyArray<readonly [string, number]>
     // A caller that asks next to nothing here keeps a little of its share for when it asks again.
     state.part = { fraction, until: this.clock.now() + HOLDS * this.readPeriod(), factors: new Map(rows.map(([caller, factor]) => [caller, Math.max(0.01, factor / 1_000)])) }
-    this.servers.setFraction(pool, Math.max(fraction, LEAST_PLACES / (this.servers.countPlaces(pool) ?? Infinity)))
+    this.servers.setFraction(pool, Math.max(fraction, LEAST_PLACES / (this.servers.sumLimits(pool) ?? Infinity)))
   }
 }
 
--- a/src/admission/split-entitled.ts
+++ b/src/admission/split-entitlements.ts
@@ -6,7 +6,7 @@
  * waited had all it asked for, so what it left of its part goes to the others; without that a caller that asks little
  * would look cheated. The parts add up to what was given.
  */
-export function splitEntitled (had: readonly Had[]): readonly number[] {
+export function splitEntitlements (had: readonly Had[]): readonly number[] {
   const entitled = had.map(() => 0)
   let open = had.map((_, i) => i)
   let rest = had.reduce((sum, { got }) => sum + got, 0)
--- a/src/admission/split-pool.ts
+++ b/src/admission/split-pool.ts
@@ -1,5 +1,5 @@
 import type { PoolDemand } from './pool-demand.js'
-import type { PoolPart } from './pool-part.js'
+import type { PoolAllocation } from './pool-allocation.js'
 
 /**
  * Arrivals come in clumps: of the places asked for on average, these many square roots more are needed at times. What
@@ -25,12 +25,12 @@
  *
  * Source: max-min fairness, Bertsekas and Gallager, "Data Networks", 1992, section 6.5.
  */
-export function splitPool (demands: ReadonlyMap<string, PoolDemand>, places: number): ReadonlyMap<string, PoolPart> {
+export function splitPool (demands: ReadonlyMap<string, PoolDemand>, places: number): ReadonlyMap<string, PoolAllocation> {
   const rows = listAsked(demands)
   const asked = mergeAsked(rows)
   const granted = grantClumps([...asked.values()], grantShares([...asked.values()], places))
   const spare = Math.max(0, places - [...granted.values()].reduce((sum, each) => sum + each, 0)) / demands.size
-  return new Map([...demands.keys()].map((daemon): [string, PoolPart] => {
+  return new Map([...demands.keys()].map((daemon): [string, PoolAllocation] => {
     const own = rows.filter(row => row.daemon === daemon).map(({ key, caller, places }) => ({ key, caller, part: places / asked.get(key)!.places }))
     return [daemon, {
       fraction: (spare + own.reduce((sum, { key, part }) => sum + granted.get(key)! * part, 0)) / places,
--- a/src/batch/job-watch.ts
+++ b/src/batch/job-watch.ts
@@ -6,7 +6,7 @@
 import { tokens } from '../kernel/tokens.js'
 import { CancelledIndex } from './cancelled-index.js'
 import type { Job } from './job.js'
-import type { LastLook } from '../coordination/last-look.js'
+import type { LastRead } from '../coordination/last-read.js'
 import { JobStore } from './job-store.js'
 import { mayStart } from '../coordination/may-start.js'
 
@@ -15,7 +15,7 @@
 /** Looks at the jobs that this daemon holds chunks of, and tells when one has been cancelled. */
 @scoped(Lifecycle.ContainerScoped)
 export class JobWatch implements Part {
-  private readonly checks = new Map<string, LastLook>()
+  private readonly checks = new Map<string, LastRead>()
   private readonly listeners = new Set<(job: string) => void>()
   private cancelTimer = (): void => {}
 
--- a/src/batch/plain-runner.ts
+++ b/src/batch/plain-runner.ts
@@ -4,7 +4,7 @@
 import type { Part } from '../kernel/part.js'
 import { partRegistry } from '../kernel/part-registry.js'
 import { tokens } from '../kernel/tokens.js'
-import { DispatchedBatch } from '../ownership/dispatched-batch.js'
+import { DispatchedItemRunner } from '../ownership/dispatched-item-runner.js'
 import { ChunkSource } from './chunk-source.js'
 
 const WORKERS = 8
@@ -18,7 +18,7 @@
 
   constructor (
     @inject(ChunkSource) private readonly source: ChunkSource,
-    @inject(DispatchedBatch) private readonly dispatched: DispatchedBatch,
+    @inject(DispatchedItemRunner) private readonly dispatched: DispatchedItemRunner,
     @inject(ConfigurationHolder) private readonly configuration: ConfigurationHolder,
     @inject(tokens.clock) private readonly clock: Clock
   ) {
--- a/src/config/configuration-reach.ts
+++ b/src/config/configuration-reach.ts
@@ -6,7 +6,7 @@
 import type { Settings } from '../kernel/settings.js'
 import { tokens } from '../kernel/tokens.js'
 import { listOthers } from '../peers/list-others.js'
-import { MemberQuestions } from '../peers/member-questions.js'
+import { MemberQueries } from '../peers/member-queries.js'
 import { Members } from '../peers/members.js'
 import { PeerLinks } from '../peers/peer-links.js'
 import { ConfigurationHolder } from './configuration-holder.js'
@@ -20,7 +20,7 @@
 @scoped(Lifecycle.ContainerScoped)
 export class ConfigurationReach implements Part {
   readonly extensions: readonly Extension[]
-  private readonly questions: MemberQuestions<number>
+  private readonly questions: MemberQueries<number>
 
   constructor (
     @inject(ConfigurationHolder) private readonly holder: ConfigurationHolder,
@@ -30,14 +30,14 @@
     @inject(tokens.clock) clock: Clock
   ) {
     const tell = async (): Promise<{ readonly version: number }> => ({ version: holder.value.version })
-    this.questions = new MemberQuestions({ links, clock, question: QUESTION, answer: ANSWER, timeout: ANSWER_WAIT, tell, read: ({ version }) => Number(version) })
+    this.questions = new MemberQueries({ links, clock, requestType: QUESTION, answerType: ANSWER, timeout: ANSWER_WAIT, handle: tell, read: ({ version }) => Number(version) })
     this.extensions = this.questions.extensions
   }
 
   /** Resolves when all known daemons have answered, or after a second. */
   async read (version: number): Promise<Reach> {
     const own = [this.settings.instance, this.holder.value.version] as const
-    const { answers, silent } = await this.questions.ask(listOthers(this.members.all(), this.settings.instance))
+    const { answers, unresponsive: silent } = await this.questions.ask(listOthers(this.members.all(), this.settings.instance))
     const versions = [own, ...answers]
     return {
       version,
--- a/src/coordination/may-start.ts
+++ b/src/coordination/may-start.ts
@@ -1,4 +1,4 @@
-import type { LastLook } from './last-look.js'
+import type { LastRead } from './last-read.js'
 
 interface StartLimits {
   /** Oldest look in ms while the platform answers. */
@@ -17,7 +17,7 @@
  * mayStart({ seen: 1_000, unreachable: false }, 5_000) // true: 4 s old
  * mayStart({ seen: 1_000, unreachable: false }, 5_000, { fresh: 2_500 }) // false
  */
-export function mayStart ({ seen, unreachable }: LastLook, now: number, { fresh = 5_000, unchecked = 60_000 }: StartLimits = {}): boolean {
+export function mayStart ({ seen, unreachable }: LastRead, now: number, { fresh = 5_000, unchecked = 60_000 }: StartLimits = {}): boolean {
   if (seen === undefined) return false
   return now - seen <= (unreachable ? unchecked : fresh)
 }
--- a/src/entry/address-lookup.ts
+++ b/src/entry/address-lookup.ts
@@ -13,7 +13,7 @@
 import { Metrics } from '../observe/metrics.js'
 import type { Member } from '../peers/member.js'
 import { Members } from '../peers/members.js'
-import type { DoorDialect } from './door-dialect.js'
+import type { EntryDialect } from './entry-dialect.js'
 import type { Endpoint } from './endpoint.js'
 import type { RoutedSettings } from './routed-settings.js'
 
@@ -29,7 +29,7 @@
   constructor (
     @inject(tokens.routed) private readonly settings: RoutedSettings,
     @inject(tokens.settings) private readonly own: Settings,
-    @inject(tokens.door) private readonly dialect: DoorDialect,
+    @inject(tokens.door) private readonly dialect: EntryDialect,
     @inject(ConfigurationHolder) private readonly configuration: ConfigurationHolder,
     @inject(FleetWatch) private readonly fleet: FleetWatch,
     @inject(Members) private readonly members: Members,
@@ -59,7 +59,7 @@
   }
 
   private get isReady (): boolean {
-    return !this.leaving && this.configuration.value.version > 0 && this.fleet.knowsServers
+    return !this.leaving && this.configuration.value.version > 0 && this.fleet.hasServers
   }
 
   private updateReady (): void {
@@ -75,12 +75,12 @@
   }
 
   private answerReadiness (req: IncomingMessage, res: ServerResponse): void {
-    if (!this.dialect.isReadiness(req)) return sendJson(res, NOT_FOUND, {})
+    if (!this.dialect.isReadinessProbe(req)) return sendJson(res, NOT_FOUND, {})
     sendJson(res, this.isReady ? 200 : NOT_READY, {})
   }
 
   private answerAddresses (req: IncomingMessage, res: ServerResponse): void {
-    const question = this.dialect.readAddressQuestion(req)
+    const question = this.dialect.readAddressRequest(req)
     if (question === undefined) return sendJson(res, NOT_FOUND, {})
     const open = this.members.all().filter(member => this.isOpen(member)).map(({ instance }) => `${instance.host}:${instance.port}`)
     if (open.length === 0) return sendJson(res, NOT_READY, {})
--- a/src/entry/door-dialect.ts
+++ b/src/entry/entry-dialect.ts
@@ -18,16 +18,16 @@
 }
 
 /** How callers and the platform speak to this fleet's daemons. */
-export interface DoorDialect {
+export interface EntryDialect {
   readHead (req: IncomingMessage): RequestHead
   /** A call about jobs that goes to a path of its own; undefined for any other request. */
   readJobCall (req: IncomingMessage): JobCall | undefined
   /** The items of a submitted job; undefined where the body holds none. */
   readItems (body: Buffer): readonly JobItem[] | undefined
   showResults (page: ResultsPage): unknown
-  isReadiness (req: IncomingMessage): boolean
+  isReadinessProbe (req: IncomingMessage): boolean
   /** The failure domain of a caller that asks for addresses; undefined for any other request. */
-  readAddressQuestion (req: IncomingMessage): { readonly failureDomain: string } | undefined
+  readAddressRequest (req: IncomingMessage): { readonly failureDomain: string } | undefined
   /** The answer to that question; `keep` in ms. */
   showAddresses (addresses: readonly string[], keep: number): unknown
 }
--- a/src/entry/response-sink.ts
+++ b/src/entry/response-sink.ts
@@ -46,7 +46,7 @@
     this.res.end()
   }
 
-  cut (): void {
+  abort (): void {
     this.res.destroy()
   }
 }
--- a/src/entry/routed-entry.ts
+++ b/src/entry/routed-entry.ts
@@ -11,7 +11,7 @@
 import { readBody } from '../http/read-body.js'
 import { sendJson } from '../http/send-json.js'
 import { takeOver } from '../http/take-over.js'
-import { Jobs } from '../jobs/jobs.js'
+import { JobRequestHandler } from '../jobs/job-request-handler.js'
 import type { Clock } from '../kernel/clock.js'
 import type { Part } from '../kernel/part.js'
 import { partRegistry } from '../kernel/part-registry.js'
@@ -23,7 +23,7 @@
 import { FleetWatch } from '../fleet/fleet-watch.js'
 import { Forwarder } from '../routing/forwarder.js'
 import { CallerConnections } from './caller-connections.js'
-import type { DoorDialect } from './door-dialect.js'
+import type { EntryDialect } from './entry-dialect.js'
 import { ResponseSink } from './response-sink.js'
 import type { RoutedSettings } from './routed-settings.js'
 import { sendRoutedRefusal } from './send-routed-refusal.js'
@@ -62,12 +62,12 @@
   constructor (
     @inject(tokens.routed) private readonly settings: RoutedSettings,
     @inject(tokens.early) private readonly early: EarlyServer | undefined,
-    @inject(tokens.door) private readonly dialect: DoorDialect,
+    @inject(tokens.door) private readonly dialect: EntryDialect,
     @inject(tokens.clock) private readonly clock: Clock,
     @inject(tokens.log) private readonly log: LogSink,
     @inject(ConfigurationHolder) private readonly configuration: ConfigurationHolder,
     @inject(Forwarder) private readonly forwarder: Forwarder,
-    @inject(Jobs) private readonly jobs: Jobs,
+    @inject(JobRequestHandler) private readonly jobs: JobRequestHandler,
     @inject(Members) private readonly members: Members,
     @inject(FleetWatch) fleet: FleetWatch,
     @inject(Metrics) metrics: Metrics
@@ -79,7 +79,7 @@
     this.server.on('clientError', (_error, socket) => socket.destroy())
     this.startWait = new StartWait({
       clock,
-      isKnown: () => configuration.value.version > 0 && fleet.knowsServers,
+      isKnown: () => configuration.value.version > 0 && fleet.hasServers,
       subscribe: listener => {
         const stops = [configuration.subscribe(listener), fleet.subscribe(listener)]
         return () => { for (const stop of stops) stop() }
--- a/src/fleet/fleet-watch.ts
+++ b/src/fleet/fleet-watch.ts
@@ -103,7 +103,7 @@
   }
 
   /** Whether the backend servers are known, from the store or from another daemon. */
-  get knowsServers (): boolean {
+  get hasServers (): boolean {
     return this.instances.cursor >= 0 || this.instances.list().size > 0
   }
 
--- a/src/jobs/end-lookup.ts
+++ b/src/jobs/ended-job-lookup.ts
@@ -5,7 +5,7 @@
 import { PauseWatch } from '../kernel/pause-watch.js'
 import type { Settings } from '../kernel/settings.js'
 import { tokens } from '../kernel/tokens.js'
-import { findHub } from '../peers/find-hub.js'
+import { findDomainLeader } from '../peers/find-domain-leader.js'
 import { MemberCalls } from '../peers/member-calls.js'
 import { Members } from '../peers/members.js'
 import { PeerLinks } from '../peers/peer-links.js'
@@ -34,7 +34,7 @@
  * from when it was asked: however long the answer takes, it proves no more than it may.
  */
 @scoped(Lifecycle.ContainerScoped)
-export class EndLookup {
+export class EndedJobLookup {
   readonly extensions
   private readonly calls: MemberCalls<Question, Answer>
   private readonly mirror = new StoreMirror<boolean>()
@@ -65,7 +65,7 @@
   private async askHub (jobs: readonly string[]): Promise<Result<FoundEnds, StoreError> | undefined> {
     const { instance, failureDomain } = this.settings
     const asked = this.clock.now()
-    const hub = findHub(this.members.all().filter(member => asked >= (this.passedUntil.get(member.instance.name) ?? -Infinity)), failureDomain)
+    const hub = findDomainLeader(this.members.all().filter(member => asked >= (this.passedUntil.get(member.instance.name) ?? -Infinity)), failureDomain)
     if (hub === undefined || hub === instance) return undefined
     const answer = await this.calls.call(hub, { jobs }, HUB_TIMEOUT)
     if (answer !== undefined) return Ok({ ended: answer.ended, seen: asked - answer.age })
@@ -105,4 +105,4 @@
   }
 }
 
-partRegistry.register({ name: 'end lookup', part: EndLookup, needs: ['members', 'peer links', 'pause watch'] })
+partRegistry.register({ name: 'end lookup', part: EndedJobLookup, needs: ['members', 'peer links', 'pause watch'] })
--- a/src/jobs/end-watch.ts
+++ b/src/jobs/ended-job-watch.ts
@@ -8,7 +8,7 @@
 import type { LogSink } from '../observe/log-sink.js'
 import { Metrics } from '../observe/metrics.js'
 import type { StoreError } from '../store/store-error.js'
-import { EndLookup } from './end-lookup.js'
+import { EndedJobLookup } from './ended-job-lookup.js'
 import { JobRecords } from './job-records.js'
 import { JobOwner } from './job-owner.js'
 import type { OwnedJob } from './owned-job.js'
@@ -28,7 +28,7 @@
  * as its own look is fresh (`OwnedJob.mayStart`).
  */
 @scoped(Lifecycle.ContainerScoped)
-export class EndWatch implements Part {
+export class EndedJobWatch implements Part {
   private looking = false
   private failing = false
   private cancel = (): void => {}
@@ -36,7 +36,7 @@
   constructor (
     @inject(JobOwner) private readonly owner: Pick<JobOwner, 'list' | 'end' | 'forget'>,
     @inject(JobRecords) private readonly records: Pick<JobRecords, 'hasItems'>,
-    @inject(EndLookup) private readonly lookup: Pick<EndLookup, 'ask'>,
+    @inject(EndedJobLookup) private readonly lookup: Pick<EndedJobLookup, 'ask'>,
     @inject(PauseWatch) private readonly pauses: PauseWatch,
     @inject(Metrics) metrics: Metrics,
     @inject(tokens.routed) private readonly routed: Pick<RoutedSettings, 'resultKeep'>,
@@ -71,7 +71,7 @@
     else await this.check()
   }
 
-  private use (jobs: readonly OwnedJob[], found: Awaited<ReturnType<EndLookup['ask']>>): void {
+  private use (jobs: readonly OwnedJob[], found: Awaited<ReturnType<EndedJobLookup['ask']>>): void {
     if (found.err) return this.noteFailure(jobs, found.val)
     this.failing = false
     for (const job of jobs) {
@@ -114,4 +114,4 @@
   }
 }
 
-partRegistry.register({ name: 'end watch', part: EndWatch, needs: ['job owner', 'end lookup', 'pause watch'] })
+partRegistry.register({ name: 'end watch', part: EndedJobWatch, needs: ['job owner', 'end lookup', 'pause watch'] })
--- a/src/jobs/item-run.ts
+++ b/src/jobs/item-run.ts
@@ -1,5 +1,5 @@
 import type { Clock } from '../kernel/clock.js'
-import { EventCutter } from '../routing/event-cutter.js'
+import { SseSplitter } from '../routing/sse-splitter.js'
 import type { OpenExchange } from '../routing/open-exchange.js'
 import { readToEnd } from '../routing/read-to-end.js'
 import type { Sender } from '../routing/sender.js'
@@ -66,7 +66,7 @@
       signal: this.abort.signal,
       paced: true,
       mayStart
-    }, { body, fingerprint: item.id, patience: FIRST_PATIENCE })
+    }, { body, fingerprint: item.id, headerTimeout: FIRST_PATIENCE })
     if (opened.err) return opened.val.why === 'withheld' && !this.abort.signal.aborted ? { type: 'withheld' } : this.showLoss(opened.val.detail)
     return await this.read(opened.val)
   }
@@ -87,7 +87,7 @@
 
   private async readEvents (open: OpenExchange): Promise<ItemOutcome> {
     const { state } = this.options
-    const cutter = new EventCutter()
+    const cutter = new SseSplitter()
     for (let patience = FIRST_PATIENCE; ; patience = BETWEEN_PATIENCE) {
       const bytes = await open.exchange.read(patience)
       if (bytes.err) return this.fail(open, bytes.val.detail)
@@ -101,7 +101,7 @@
         state.losses = 0
       }
     }
-    if (!cutter.isClean) return this.fail(open, 'it ended within an event')
+    if (!cutter.isAtBoundary) return this.fail(open, 'it ended within an event')
     open.end('answered')
     return { type: 'completed' }
   }
--- a/src/jobs/job-adoption.ts
+++ b/src/jobs/job-adoption.ts
@@ -7,7 +7,7 @@
 import type { Settings } from '../kernel/settings.js'
 import { tokens } from '../kernel/tokens.js'
 import { Members } from '../peers/members.js'
-import { JobBook } from './job-book.js'
+import { JobRegistry } from './job-registry.js'
 import { JobOwner } from './job-owner.js'
 import { JobRecords } from './job-records.js'
 import type { KnownJob } from './known-job.js'
@@ -39,7 +39,7 @@
 
   constructor (
     @inject(JobOwner) private readonly owner: JobOwner,
-    @inject(JobBook) private readonly book: JobBook,
+    @inject(JobRegistry) private readonly book: JobRegistry,
     @inject(JobRecords) private readonly records: JobRecords,
     @inject(Members) private readonly members: Members,
     @inject(tokens.settings) private readonly settings: Settings,
--- a/src/jobs/job-notes.ts
+++ b/src/jobs/job-checkpointer.ts
@@ -32,7 +32,7 @@
  * progress to: every item in flight would begin anew, and with slots as scarce as they are then its whole job comes late.
  */
 @scoped(Lifecycle.ContainerScoped)
-export class JobNotes implements Part {
+export class JobCheckpointer implements Part {
   private readonly notes = new WeakMap<OwnedJob, Note>()
   private cancel = (): void => {}
 
@@ -71,4 +71,4 @@
   }
 }
 
-partRegistry.register({ name: 'job notes', part: JobNotes, needs: ['job owner'] })
+partRegistry.register({ name: 'job notes', part: JobCheckpointer, needs: ['job owner'] })
--- a/src/jobs/job-cleaner.ts
+++ b/src/jobs/job-cleaner.ts
@@ -8,7 +8,7 @@
 import { tokens } from '../kernel/tokens.js'
 import type { LogSink } from '../observe/log-sink.js'
 import { Members } from '../peers/members.js'
-import { JobBook } from './job-book.js'
+import { JobRegistry } from './job-registry.js'
 import { JobOwner } from './job-owner.js'
 import { JobRecords } from './job-records.js'
 import type { KnownJob } from './known-job.js'
@@ -24,7 +24,7 @@
   private cancel = (): void => {}
 
   constructor (
-    @inject(JobBook) private readonly book: JobBook,
+    @inject(JobRegistry) private readonly book: JobRegistry,
     @inject(JobOwner) private readonly owner: JobOwner,
     @inject(JobRecords) private readonly records: JobRecords,
     @inject(Members) private readonly members: Members,
--- a/src/jobs/job-owner.ts
+++ b/src/jobs/job-owner.ts
@@ -15,7 +15,7 @@
 import type { PeerMessage } from '../peers/peer-message.js'
 import type { StoreError } from '../store/store-error.js'
 import { countUnnoted } from './count-unnoted.js'
-import { JobBook } from './job-book.js'
+import { JobRegistry } from './job-registry.js'
 import type { ItemProgress } from './item-progress.js'
 import type { JobHead } from './job-head.js'
 import type { JobItem } from './job-item.js'
@@ -51,7 +51,7 @@
   constructor (
     @inject(JobRecords) private readonly records: JobRecords,
     @inject(JobRunner) private readonly runner: JobRunner,
-    @inject(JobBook) private readonly book: JobBook,
+    @inject(JobRegistry) private readonly book: JobRegistry,
     @inject(Members) private readonly members: Members,
     @inject(PeerLinks) private readonly links: Pick<PeerLinks, 'send'>,
     @inject(PauseWatch) private readonly pauses: Pick<PauseWatch, 'check' | 'count'>,
--- a/src/jobs/job-reader.ts
+++ b/src/jobs/job-reader.ts
@@ -11,7 +11,7 @@
 import { MemberCalls } from '../peers/member-calls.js'
 import { PeerLinks } from '../peers/peer-links.js'
 import type { StoreError } from '../store/store-error.js'
-import { JobBook } from './job-book.js'
+import { JobRegistry } from './job-registry.js'
 import { JobOwner } from './job-owner.js'
 import { JobRecords } from './job-records.js'
 import { OwnedJob } from './owned-job.js'
@@ -43,7 +43,7 @@
 
   constructor (
     @inject(JobOwner) private readonly owner: JobOwner,
-    @inject(JobBook) private readonly book: JobBook,
+    @inject(JobRegistry) private readonly book: JobRegistry,
     @inject(JobRecords) private readonly records: JobRecords,
     @inject(PeerLinks) links: PeerLinks,
     @inject(tokens.settings) private readonly settings: Pick<Settings, 'instance'>,
--- a/src/jobs/job-book.ts
+++ b/src/jobs/job-registry.ts
@@ -1,6 +1,6 @@
 import { inject, Lifecycle, scoped } from 'tsyringe'
 import { partRegistry } from '../kernel/part-registry.js'
-import { FleetCast } from '../peers/fleet-cast.js'
+import { FleetBroadcast } from '../peers/fleet-broadcast.js'
 import { peerHandlerPoint } from '../peers/peer-handler-point.js'
 import type { PeerMessage } from '../peers/peer-message.js'
 import type { KnownJob } from './known-job.js'
@@ -11,7 +11,7 @@
 
 /** The jobs of all daemons as far as told. Whoever owns a job tells the others of it when it is accepted and as it goes on. */
 @scoped(Lifecycle.ContainerScoped)
-export class JobBook {
+export class JobRegistry {
   readonly extensions = [
     peerHandlerPoint.of({ type: MESSAGE, handle: message => this.hear(message) }),
     peerHandlerPoint.of({ type: SEEN_MESSAGE, handle: message => this.hearSeen(message) }),
@@ -21,7 +21,7 @@
   private readonly jobs = new Map<string, KnownJob>()
   private readonly listeners = new Set<(job: KnownJob) => void>()
 
-  constructor (@inject(FleetCast) private readonly cast: FleetCast) {}
+  constructor (@inject(FleetBroadcast) private readonly cast: FleetBroadcast) {}
 
   get (id: string): KnownJob | undefined {
     return this.jobs.get(id)
@@ -39,12 +39,12 @@
   /** Takes what this daemon knows first and tells the others. */
   tell (job: KnownJob): void {
     this.jobs.set(job.id, job)
-    this.cast.cast({ type: MESSAGE, job }, `${MESSAGE} ${job.id}`)
+    this.cast.broadcast({ type: MESSAGE, job }, `${MESSAGE} ${job.id}`)
   }
 
   /** Tells the others of a job that this daemon doesn't own, which they may not know of; what they know goes first. */
   tellSeen (job: KnownJob): void {
-    this.cast.cast({ type: SEEN_MESSAGE, job }, `${SEEN_MESSAGE} ${job.id}`)
+    this.cast.broadcast({ type: SEEN_MESSAGE, job }, `${SEEN_MESSAGE} ${job.id}`)
   }
 
   /** Takes what the store says, unless more is known. */
@@ -55,7 +55,7 @@
   /** Drops a job that is no longer stored, here and at the others. */
   forget (id: string): void {
     this.jobs.delete(id)
-    this.cast.cast({ type: GONE_MESSAGE, id }, `${GONE_MESSAGE} ${id}`)
+    this.cast.broadcast({ type: GONE_MESSAGE, id }, `${GONE_MESSAGE} ${id}`)
   }
 
   /** Tokens of unfinished items of the jobs that `isOn` says are on a route. */
@@ -82,4 +82,4 @@
   }
 }
 
-partRegistry.register({ name: 'job book', part: JobBook, needs: ['fleet cast'] })
+partRegistry.register({ name: 'job book', part: JobRegistry, needs: ['fleet cast'] })
--- a/src/jobs/jobs.ts
+++ b/src/jobs/job-request-handler.ts
@@ -2,7 +2,7 @@
 import { inject, Lifecycle, scoped } from 'tsyringe'
 import { ConfigurationHolder } from '../config/configuration-holder.js'
 import type { Route } from '../config/route.js'
-import type { DoorDialect } from '../entry/door-dialect.js'
+import type { EntryDialect } from '../entry/entry-dialect.js'
 import { sendRoutedRefusal } from '../entry/send-routed-refusal.js'
 import { sendJson } from '../http/send-json.js'
 import type { Clock } from '../kernel/clock.js'
@@ -12,7 +12,7 @@
 import { tokens } from '../kernel/tokens.js'
 import type { LogSink } from '../observe/log-sink.js'
 import { Metrics } from '../observe/metrics.js'
-import { JobBook } from './job-book.js'
+import { JobRegistry } from './job-registry.js'
 import type { JobCall } from './job-call.js'
 import type { JobItem } from './job-item.js'
 import { JobOwner } from './job-owner.js'
@@ -39,18 +39,18 @@
 
 /** The jobs' side of the door: takes them in, and answers what their callers ask of them. */
 @scoped(Lifecycle.ContainerScoped)
-export class Jobs {
+export class JobRequestHandler {
   /** Tokens of jobs that are being accepted here. */
   private readonly accepting = new Map<string, { readonly host: string, readonly path: string, readonly tokens: number }>()
 
   constructor (
-    @inject(tokens.door) private readonly dialect: DoorDialect,
+    @inject(tokens.door) private readonly dialect: EntryDialect,
     @inject(tokens.clock) private readonly clock: Clock,
     @inject(tokens.random) private readonly random: Random,
     @inject(tokens.log) private readonly log: LogSink,
     @inject(Metrics) private readonly metrics: Metrics,
     @inject(ConfigurationHolder) private readonly configuration: ConfigurationHolder,
-    @inject(JobBook) private readonly book: JobBook,
+    @inject(JobRegistry) private readonly book: JobRegistry,
     @inject(JobOwner) private readonly owner: JobOwner,
     @inject(JobReader) private readonly reader: JobReader,
     @inject(JobRecords) private readonly records: JobRecords
@@ -158,4 +158,4 @@
   }
 }
 
-partRegistry.register({ name: 'jobs', part: Jobs, needs: ['job reader', 'job owner'] })
+partRegistry.register({ name: 'jobs', part: JobRequestHandler, needs: ['job reader', 'job owner'] })
--- a/src/jobs/job-runner.ts
+++ b/src/jobs/job-runner.ts
@@ -13,7 +13,7 @@
 import { Metrics } from '../observe/metrics.js'
 import { ServerLoads } from '../placement/server-loads.js'
 import { orderBatch } from '../placement/order-batch.js'
-import { SlotAsker } from '../placement/slot-asker.js'
+import { SlotClient } from '../placement/slot-client.js'
 import { Sender } from '../routing/sender.js'
 import type { ServerDialect } from '../routing/server-dialect.js'
 import { Servers } from '../routing/servers.js'
@@ -54,7 +54,7 @@
 
   constructor (
     @inject(ServerLoads) private readonly loads: ServerLoads,
-    @inject(SlotAsker) private readonly asker: SlotAsker,
+    @inject(SlotClient) private readonly asker: SlotClient,
     @inject(Sender) private readonly sender: Sender,
     @inject(Servers) private readonly servers: Servers,
     @inject(ConfigurationHolder) configuration: ConfigurationHolder,
--- a/src/jobs/owned-job.ts
+++ b/src/jobs/owned-job.ts
@@ -1,4 +1,4 @@
-import type { LastLook } from '../coordination/last-look.js'
+import type { LastRead } from '../coordination/last-read.js'
 import { mayStart } from '../coordination/may-start.js'
 import type { ItemProgress } from './item-progress.js'
 import type { ListedResult } from './listed-result.js'
@@ -36,7 +36,7 @@
   /** Set when its caller ended it: nothing of it runs any more. */
   ended = false
   /** When the store was last seen to know of no end of it. */
-  look: LastLook
+  look: LastRead
   /** Whether a segment of its results is being stored, and when the last was begun; monotonic ms. */
   isStoring = false
   storedAt = -Infinity
--- a/src/jobs/job-contest.ts
+++ b/src/jobs/owner-conflict-resolver.ts
@@ -7,7 +7,7 @@
 import type { Settings } from '../kernel/settings.js'
 import { tokens } from '../kernel/tokens.js'
 import type { LogSink } from '../observe/log-sink.js'
-import { JobBook } from './job-book.js'
+import { JobRegistry } from './job-registry.js'
 import { JobOwner } from './job-owner.js'
 import type { KnownJob } from './known-job.js'
 import type { OwnedJob } from './owned-job.js'
@@ -24,14 +24,14 @@
  * does too, both until no other claim is heard; by rank one keeps the job. Meanwhile each reads the store before it answers.
  */
 @scoped(Lifecycle.ContainerScoped)
-export class JobContest implements Part {
+export class OwnerConflictResolver implements Part {
   /** Jobs whose former owner was alive at the last look. */
   private readonly returned = new WeakSet<OwnedJob>()
   private cancel = (): void => {}
 
   constructor (
     @inject(JobOwner) private readonly owner: JobOwner,
-    @inject(JobBook) private readonly book: JobBook,
+    @inject(JobRegistry) private readonly book: JobRegistry,
     @inject(PauseWatch) private readonly pauses: PauseWatch,
     @inject(tokens.settings) private readonly settings: Settings,
     @inject(tokens.log) private readonly log: LogSink,
@@ -91,4 +91,4 @@
   }
 }
 
-partRegistry.register({ name: 'job contest', part: JobContest, needs: ['job owner', 'pause watch'] })
+partRegistry.register({ name: 'job contest', part: OwnerConflictResolver, needs: ['job owner', 'pause watch'] })
--- a/src/kernel/tokens.ts
+++ b/src/kernel/tokens.ts
@@ -1,5 +1,5 @@
 import type { InjectionToken } from 'tsyringe'
-import type { DoorDialect } from '../entry/door-dialect.js'
+import type { EntryDialect } from '../entry/entry-dialect.js'
 import type { RoutedSettings } from '../entry/routed-settings.js'
 import type { EarlyServer } from '../http/early-server.js'
 import type { ServerDialect } from '../routing/server-dialect.js'
@@ -20,7 +20,7 @@
   storeClient: Symbol('store client') as InjectionToken<PlatformClient>,
   log: Symbol('log') as InjectionToken<LogSink>,
   /** How callers speak to the door for requests by host and path, how its servers are spoken to, and where it listens. */
-  door: Symbol('door') as InjectionToken<DoorDialect>,
+  door: Symbol('door') as InjectionToken<EntryDialect>,
   servers: Symbol('servers') as InjectionToken<ServerDialect>,
   routed: Symbol('routed') as InjectionToken<RoutedSettings>,
   /** What listens at that door already, where anything does. */
--- a/src/ownership/batch-run.ts
+++ b/src/ownership/batch-run.ts
@@ -59,7 +59,7 @@
   async run (): Promise<BatchOutcome> {
     const request = this.buildRequest()
     const { sender, server } = this.options
-    const opened = await sender.send(server, request, { body: request.body!, fingerprint: this.hash(), patience: FIRST_PATIENCE })
+    const opened = await sender.send(server, request, { body: request.body!, fingerprint: this.hash(), headerTimeout: FIRST_PATIENCE })
     if (opened.err) return this.showUnopened(opened.val)
     const { exchange } = opened.val
     const failure = exchange.isStream() ? await this.readStream(opened.val) : undefined
--- a/src/ownership/dispatched-batch.ts
+++ b/src/ownership/dispatched-item-runner.ts
@@ -17,7 +17,7 @@
  * those of models that must not be closed half way.
  */
 @scoped(Lifecycle.ContainerScoped)
-export class DispatchedBatch {
+export class DispatchedItemRunner {
   constructor (
     @inject(Dispatcher) private readonly dispatcher: Dispatcher,
     @inject(ConfigurationHolder) private readonly configuration: ConfigurationHolder,
--- a/src/ownership/limit-idle.ts
+++ b/src/ownership/limit-idle-streams.ts
@@ -6,6 +6,6 @@
 const HEADROOM_SHARE = 0.3
 
 /** Batch streams that a server without online requests may have; a small one keeps some as well. */
-export function limitIdle (maxInFlight: number): number {
+export function limitIdleStreams (maxInFlight: number): number {
   return Math.max(1, maxInFlight - Math.min(HEADROOM, Math.ceil(maxInFlight * HEADROOM_SHARE)))
 }
--- a/src/ownership/plan-preempting.ts
+++ b/src/ownership/plan-preempting.ts
@@ -1,7 +1,7 @@
 import type { BatchAdmissionEffect } from './batch-admission-effect.js'
 import type { BatchAdmissionState } from './batch-admission-state.js'
 import { estimatePrefillDebt } from './estimate-prefill-debt.js'
-import { limitIdle } from './limit-idle.js'
+import { limitIdleStreams } from './limit-idle-streams.js'
 
 /**
  * Prompt tokens of batch that may wait or prefill in the engine at once while nothing online runs there. They lengthen the
@@ -58,7 +58,7 @@
 export function planPreempting (state: BatchAdmissionState, now: number, { maxInFlight, before, paced }: PlanOptions): readonly BatchAdmissionEffect[] {
   const { streams, online, limit, peak, peakAt } = state
   const idle = online === 0
-  const allowed = Math.floor(idle ? Math.min(limit, limitIdle(maxInFlight)) : Math.max(0, peak * PEAK_SHARE - online))
+  const allowed = Math.floor(idle ? Math.min(limit, limitIdleStreams(maxInFlight)) : Math.max(0, peak * PEAK_SHARE - online))
   const first = before === 0
   const arrived = online > before
   const excess = idle ? [] : streams.filter(({ prefilled }, i) => first || i >= allowed || (arrived && !prefilled))
--- a/src/ownership/server-view-spread.ts
+++ b/src/ownership/server-view-publisher.ts
@@ -25,7 +25,7 @@
 
 /** Tells the daemons of a region how its servers are, from each server's owner. */
 @scoped(Lifecycle.ContainerScoped)
-export class ServerViewSpread implements Part {
+export class ServerViewPublisher implements Part {
   readonly extensions = [peerHandlerPoint.of({ type: MESSAGE_TYPE, handle: message => this.hear(message) })]
   private readonly told = new Map<string, { readonly view: ServerView, readonly at: number }>()
   private readonly heard = new Map<string, number>()
@@ -104,4 +104,4 @@
   }
 }
 
-partRegistry.register({ name: 'server view spread', part: ServerViewSpread, needs: ['server owners', 'server watch', 'online load', 'batch runner', 'peer links', 'members'] })
+partRegistry.register({ name: 'server view spread', part: ServerViewPublisher, needs: ['server owners', 'server watch', 'online load', 'batch runner', 'peer links', 'members'] })
--- a/src/ownership/work-queue.ts
+++ b/src/ownership/work-queue.ts
@@ -6,7 +6,7 @@
 import { Quarantine } from '../routing/quarantine.js'
 import { batchSourcePoint } from './batch-source-point.js'
 import type { BatchWork } from './batch-work.js'
-import { DispatchedBatch } from './dispatched-batch.js'
+import { DispatchedItemRunner } from './dispatched-item-runner.js'
 import { ServedModels } from './served-models.js'
 
 /** Items that run by the dispatcher at once. */
@@ -23,7 +23,7 @@
   constructor (
     @inject(ServedModels) private readonly models: ServedModels,
     @inject(Quarantine) private readonly quarantine: Quarantine,
-    @inject(DispatchedBatch) private readonly dispatched: DispatchedBatch,
+    @inject(DispatchedItemRunner) private readonly dispatched: DispatchedItemRunner,
     @inject(Extensions) private readonly added: Extensions,
     @inject(tokens.clock) private readonly clock: Clock
   ) {}
--- a/src/peers/find-hub.ts
+++ b/src/peers/find-domain-leader.ts
@@ -2,7 +2,7 @@
 import type { Member } from './member.js'
 
 /** The daemon that passes messages on and reads ends of jobs for its failure domain; undefined where no daemon of it is alive. */
-export function findHub (members: readonly Member[], failureDomain: string): string | undefined {
+export function findDomainLeader (members: readonly Member[], failureDomain: string): string | undefined {
   const near = members.filter(({ state, run, instance }) => state === 'alive' && run > 0 && instance.failureDomain === failureDomain)
   return rankOwners('hub', near.map(({ instance }) => instance.name))[0]
 }
--- a/src/peers/fleet-cast.ts
+++ b/src/peers/fleet-broadcast.ts
@@ -3,7 +3,7 @@
 import { partRegistry } from '../kernel/part-registry.js'
 import type { Settings } from '../kernel/settings.js'
 import { tokens } from '../kernel/tokens.js'
-import { findHub } from './find-hub.js'
+import { findDomainLeader } from './find-domain-leader.js'
 import { isSmallFleet } from './is-small-fleet.js'
 import { listHubs } from './list-hubs.js'
 import { listOthers } from './list-others.js'
@@ -20,7 +20,7 @@
  * not with all. What is cast may be lost with a hub; whoever needs it surely has another way to it.
  */
 @scoped(Lifecycle.ContainerScoped)
-export class FleetCast implements Part {
+export class FleetBroadcast implements Part {
   readonly extensions = [peerHandlerPoint.of({ type: CAST, handle: ({ m, relayed }, from) => this.passOn(m as PeerMessage, relayed === true, from) })]
 
   constructor (
@@ -30,11 +30,11 @@
   ) {}
 
   /** While a message waits for a slow peer, a newer one of its topic takes its place. */
-  cast (message: PeerMessage, topic: string): void {
+  broadcast (message: PeerMessage, topic: string): void {
     const members = this.members.all()
     const { instance, failureDomain } = this.settings
     if (isSmallFleet(members)) return this.sendAll(listOthers(members, instance), message, topic)
-    const hub = findHub(members, failureDomain)
+    const hub = findDomainLeader(members, failureDomain)
     if (hub === instance) this.passOn(message, false, instance)
     else if (hub !== undefined) this.links.send(hub, { type: CAST, m: message }, `${CAST} ${topic}`)
   }
@@ -54,4 +54,4 @@
   }
 }
 
-partRegistry.register({ name: 'fleet cast', part: FleetCast, needs: ['members', 'peer links'] })
+partRegistry.register({ name: 'fleet cast', part: FleetBroadcast, needs: ['members', 'peer links'] })
--- a/src/peers/list-hubs.ts
+++ b/src/peers/list-hubs.ts
@@ -1,9 +1,9 @@
-import { findHub } from './find-hub.js'
+import { findDomainLeader } from './find-domain-leader.js'
 import type { Member } from './member.js'
 
 /** The hubs of all failure domains but `failureDomain`. */
 export function listHubs (members: readonly Member[], failureDomain: string): readonly string[] {
   const others = new Set(members.map(({ instance }) => instance.failureDomain))
   others.delete(failureDomain)
-  return [...others].flatMap(domain => findHub(members, domain) ?? [])
+  return [...others].flatMap(domain => findDomainLeader(members, domain) ?? [])
 }
--- a/src/peers/member-questions.ts
+++ b/src/peers/member-queries.ts
@@ -12,14 +12,14 @@
   readonly links: Pick<PeerLinks, 'send'>
   readonly clock: Clock
   /** Types of the two messages. */
-  readonly question: string
-  readonly answer: string
+  readonly requestType: string
+  readonly answerType: string
   /** How long each question may take, ms. */
   readonly timeout: number
   /** Questions under way at once. */
   readonly concurrency?: number
   /** The fields with which this daemon answers; undefined to stay silent. */
-  readonly tell: () => Promise<Fields | undefined>
+  readonly handle: () => Promise<Fields | undefined>
   /** What an answer says. */
   readonly read: (message: PeerMessage, from: string) => T
 }
@@ -28,29 +28,29 @@
   /** By daemon, in the order in which they came. */
   readonly answers: ReadonlyMap<string, T>
   /** Daemons that didn't answer in time. */
-  readonly silent: readonly string[]
+  readonly unresponsive: readonly string[]
 }
 
 /**
  * A question that one daemon puts to others and that each answers for itself: an answer counts once, in time, and from
  * the daemon that was asked. A part owns one and registers its `extensions`.
  */
-export class MemberQuestions<T> {
+export class MemberQueries<T> {
   readonly extensions: readonly Extension[]
   private readonly pending: PendingCalls<readonly [string, T]>
 
   constructor (private readonly options: MemberQuestionsOptions<T>) {
     this.pending = new PendingCalls(options.clock)
     this.extensions = [
-      peerHandlerPoint.of({ type: options.question, handle: (message, from) => { void this.answer(message, from) } }),
-      peerHandlerPoint.of({ type: options.answer, handle: (message, from) => this.receive(message, from) })
+      peerHandlerPoint.of({ type: options.requestType, handle: (message, from) => { void this.answer(message, from) } }),
+      peerHandlerPoint.of({ type: options.answerType, handle: (message, from) => this.receive(message, from) })
     ]
   }
 
   /** Asks each of `names` once; resolves when all have answered or had their time. */
   async ask (names: readonly string[]): Promise<Told<T>> {
     const { answers, silent } = await askEach(names, async name => await this.askOne(name), this.options.concurrency ?? names.length)
-    return { answers: new Map(answers), silent }
+    return { answers: new Map(answers), unresponsive: silent }
   }
 
   /** Takes those asked that haven't answered for silent. */
@@ -59,13 +59,13 @@
   }
 
   private async askOne (from: string): Promise<readonly [string, T] | undefined> {
-    const { links, question: type, timeout } = this.options
+    const { links, requestType: type, timeout } = this.options
     return await this.pending.open(from, timeout, id => links.send(from, { type, id }))
   }
 
   private async answer ({ id }: PeerMessage, from: string): Promise<void> {
-    const fields = await this.options.tell()
-    if (fields !== undefined) this.options.links.send(from, { type: this.options.answer, id, ...fields })
+    const fields = await this.options.handle()
+    if (fields !== undefined) this.options.links.send(from, { type: this.options.answerType, id, ...fields })
   }
 
   private receive (message: PeerMessage, from: string): void {
--- a/src/placement/place-queue.ts
+++ b/src/placement/placement-queue.ts
@@ -7,22 +7,22 @@
 import { Metrics } from '../observe/metrics.js'
 import type { PlaceRequest } from './place-request.js'
 import { ServerLoads } from './server-loads.js'
-import { SlotAsker } from './slot-asker.js'
+import { SlotClient } from './slot-client.js'
 import { SlotQueue } from './slot-queue.js'
-import { StayTimes } from './stay-times.js'
+import { SlotHoldTimes } from './slot-hold-times.js'
 
 /**
  * Where online requests get their slots: from the brokers, or, where a broker says nothing in time, from this daemon's own queue
  * for the pool, by what it has in flight itself.
  */
 @scoped(Lifecycle.ContainerScoped)
-export class PlaceQueue implements Part {
+export class PlacementQueue implements Part {
   private readonly queues = new Map<string, SlotQueue>()
 
   constructor (
     @inject(ServerLoads) private readonly loads: ServerLoads,
-    @inject(SlotAsker) private readonly asker: SlotAsker,
-    @inject(StayTimes) private readonly stays: StayTimes,
+    @inject(SlotClient) private readonly asker: SlotClient,
+    @inject(SlotHoldTimes) private readonly stays: SlotHoldTimes,
     @inject(Metrics) private readonly metrics: Metrics,
     @inject(tokens.clock) private readonly clock: Clock,
     @inject(tokens.random) private readonly random: Random
@@ -40,7 +40,7 @@
   }
 
   /** Notes how long a request kept its slot, ms. */
-  recordStay (pool: string, stay: number): void {
+  recordHoldTime (pool: string, stay: number): void {
     this.stays.record(pool, stay)
   }
 
@@ -63,4 +63,4 @@
   }
 }
 
-partRegistry.register({ name: 'place queue', part: PlaceQueue, needs: ['server loads', 'slot asker'] })
+partRegistry.register({ name: 'place queue', part: PlacementQueue, needs: ['server loads', 'slot asker'] })
--- a/src/placement/slot-broker.ts
+++ b/src/placement/slot-broker.ts
@@ -17,7 +17,7 @@
 import { SlotLedger } from './slot-ledger.js'
 import { SlotMap } from './slot-map.js'
 import { SlotQueue } from './slot-queue.js'
-import { StayTimes } from './stay-times.js'
+import { SlotHoldTimes } from './slot-hold-times.js'
 
 /** How often what has grown old is dropped, and slots are looked for that a server's return or a lapsed grant freed, ms. */
 const CHECK_PERIOD = 500
@@ -59,7 +59,7 @@
     @inject(ServerLoads) private readonly loads: ServerLoads,
     @inject(Members) private readonly members: Members,
     @inject(SlotMap) private readonly map: SlotMap,
-    @inject(StayTimes) private readonly stays: StayTimes,
+    @inject(SlotHoldTimes) private readonly stays: SlotHoldTimes,
     @inject(Metrics) private readonly metrics: Metrics,
     @inject(tokens.clock) private readonly clock: Clock,
     @inject(tokens.random) private readonly random: Random
--- a/src/placement/slot-asker.ts
+++ b/src/placement/slot-client.ts
@@ -67,7 +67,7 @@
  * choice: worse placed is better than late.
  */
 @scoped(Lifecycle.ContainerScoped)
-export class SlotAsker implements Part {
+export class SlotClient implements Part {
   readonly extensions = [
     peerHandlerPoint.of({ type: ASK, handle: ({ ask }, from) => this.broker.ask(from, ask as SlotAsk) }),
     peerHandlerPoint.of({ type: WITHDRAW, handle: ({ n }, from) => this.broker.cancelAsk(from, Number(n)) }),
@@ -278,4 +278,4 @@
   }
 }
 
-partRegistry.register({ name: 'slot asker', part: SlotAsker, needs: ['slot broker', 'slot map', 'server loads', 'peer links'] })
+partRegistry.register({ name: 'slot asker', part: SlotClient, needs: ['slot broker', 'slot map', 'server loads', 'peer links'] })
--- a/src/placement/stay-times.ts
+++ b/src/placement/slot-hold-times.ts
@@ -7,7 +7,7 @@
 
 /** How long requests of each pool keep their slots, by those that this daemon sent. */
 @scoped(Lifecycle.ContainerScoped)
-export class StayTimes {
+export class SlotHoldTimes {
   private readonly means = new Map<string, number>()
 
   /** Notes one stay, ms. */
--- a/src/report/find-period.ts
+++ b/src/report/find-period.ts
@@ -1,6 +1,6 @@
 import { Err, Ok, type Result } from 'ts-results'
 import { isDay } from '../admission/is-day.js'
-import { showDay } from '../admission/show-day.js'
+import { formatDay } from '../admission/format-day.js'
 
 const DAY = 86_400_000
 const WEEK = 7
@@ -23,11 +23,11 @@
 /** The days to report: a week, or from one day to another; the present week where nothing is named. All in UTC. */
 export function findPeriod (options: PeriodOptions): Result<Period, string> {
   return findDays(options).andThen(({ since, until }) => {
-    const today = showDay(options.date)
+    const today = formatDay(options.date)
     if (since > today) return Err(`${since} is still to come`)
     const span = Date.parse(until) - Date.parse(since) + DAY
     const last = until > today ? today : until
-    const move = (day: string): string => showDay(Date.parse(day) - span)
+    const move = (day: string): string => formatDay(Date.parse(day) - span)
     return Ok({ since, until: last, before: { since: move(since), until: move(last) } })
   })
 }
@@ -36,7 +36,7 @@
   if (week !== undefined) return since === undefined && until === undefined ? parseWeek(week) : Err('--week goes without --since and --until')
   for (const day of [since, until]) if (day !== undefined && !isDay(day)) return Err(`${day} is not a day as YYYY-MM-DD`)
   if (since === undefined && until === undefined) return Ok(findWeek(date))
-  const period = { since: since ?? findWeek(Date.parse(until!)).since, until: until ?? showDay(date) }
+  const period = { since: since ?? findWeek(Date.parse(until!)).since, until: until ?? formatDay(date) }
   const days = (Date.parse(period.until) - Date.parse(period.since)) / DAY + 1
   if (days < 1) return Err(`${period.until} is before ${period.since}`)
   return days > MAX_DAYS ? Err(`${days} days are over the limit of ${MAX_DAYS}`) : Ok(period)
@@ -44,9 +44,9 @@
 
 /** The week of a date, Monday to Sunday. */
 function findWeek (date: number): Days {
-  const day = Date.parse(showDay(date))
+  const day = Date.parse(formatDay(date))
   const monday = day - (new Date(day).getUTCDay() + 6) % WEEK * DAY
-  return { since: showDay(monday), until: showDay(monday + (WEEK - 1) * DAY) }
+  return { since: formatDay(monday), until: formatDay(monday + (WEEK - 1) * DAY) }
 }
 
 /** Week 1 is the one with 4 January in it. */
--- a/src/routing/answer-sink.ts
+++ b/src/routing/answer-sink.ts
@@ -13,5 +13,5 @@
   /** Resolves when the caller has room for more. */
   write (bytes: Buffer): Promise<void>
   end (): void
-  cut (): void
+  abort (): void
 }
--- a/src/routing/delivery.ts
+++ b/src/routing/delivery.ts
@@ -34,9 +34,9 @@
   /** What the servers' prefix caches are keyed by. */
   readonly key?: string
   /** Longest wait for the head of an answer of a request that may be sent again and has `left` ms. */
-  readonly getPatience: (left: number) => number
+  readonly getTimeout: (left: number) => number
   /** Longest wait of a retry for a place, ms. */
-  readonly placeWait: number
+  readonly retryWait: number
 }
 
 /** All the sends of one request: where to, after which failures again, and what to say when it is given up. */
@@ -57,14 +57,14 @@
       const server = place ?? await this.waitForPlace()
       if ('cause' in server) return Err(server)
       this.tried.push(server)
-      const opened = await this.tools.sender.send(server, this.request, { body, fingerprint: this.fingerprint, patience: this.getPatience() })
+      const opened = await this.tools.sender.send(server, this.request, { body, fingerprint: this.fingerprint, headerTimeout: this.getPatience() })
       if (opened.ok) {
         this.sent = true
         return Ok(opened.val)
       }
       const refusal = this.plan(opened.val)
       if (refusal !== undefined) return Err(refusal)
-      if (opened.val.why === 'unreachable') await this.tools.sender.waitForWord(server)
+      if (opened.val.why === 'unreachable') await this.tools.sender.waitForLossReports(server)
     }
   }
 
@@ -129,7 +129,7 @@
 
   private async waitForPlace (): Promise<BackendServer | Refusal> {
     const { quarantine, clock, servers } = this.tools
-    const end = Math.min(this.request.deadline, clock.now() + this.options.placeWait)
+    const end = Math.min(this.request.deadline, clock.now() + this.options.retryWait)
     for (;;) {
       const suspect = quarantine.check(this.fingerprint) === 'suspect'
       const place = suspect ? await this.waitForTrial() : this.tryPlace()
@@ -158,6 +158,6 @@
   /** How long to wait for a server that says nothing, ms. */
   getPatience (): number {
     const left = Math.max(1, this.request.deadline - this.tools.clock.now())
-    return this.request.idempotent ? Math.min(left, this.options.getPatience(left)) : left
+    return this.request.idempotent ? Math.min(left, this.options.getTimeout(left)) : left
   }
 }
--- a/src/routing/dispatcher.ts
+++ b/src/routing/dispatcher.ts
@@ -42,7 +42,7 @@
   ) {}
 
   /** Whether a server has a place for the request now. */
-  hasPlace ({ pool, limit }: ServerRequest): boolean {
+  hasCapacity ({ pool, limit }: ServerRequest): boolean {
     return chooseServer(this.servers.inPool(pool), { random: this.random, limit }) !== undefined
   }
 
@@ -62,8 +62,8 @@
     const { servers, sender, quarantine, trials, clock, random } = this
     const delivery = new Delivery(request, { servers, sender, quarantine, trials, clock, random, budget }, {
       key: asked === undefined ? undefined : `${request.service}\0${asked.prefix}`,
-      getPatience: left => asked?.stream === true && model !== undefined ? times.getFirstPatience(model) : left / 2,
-      placeWait: this.configuration.value.limits.queueWait
+      getTimeout: left => asked?.stream === true && model !== undefined ? times.getFirstPatience(model) : left / 2,
+      retryWait: this.configuration.value.limits.queueWait
     })
     const opened = await delivery.open(request.body ?? null)
     if (opened.err) return opened
--- a/src/routing/forwarder.ts
+++ b/src/routing/forwarder.ts
@@ -5,7 +5,7 @@
 import { tokens } from '../kernel/tokens.js'
 import type { LogSink } from '../observe/log-sink.js'
 import { Metrics } from '../observe/metrics.js'
-import { PlaceQueue } from '../placement/place-queue.js'
+import { PlacementQueue } from '../placement/placement-queue.js'
 import { ServerLoads } from '../placement/server-loads.js'
 import type { AnswerSink } from './answer-sink.js'
 import { Forwarding } from './forwarding.js'
@@ -27,7 +27,7 @@
     @inject(Sender) readonly sender: Sender,
     @inject(Servers) readonly servers: Servers,
     @inject(Quarantine) readonly quarantine: Quarantine,
-    @inject(PlaceQueue) readonly queue: PlaceQueue,
+    @inject(PlacementQueue) readonly queue: PlacementQueue,
     @inject(ServerLoads) readonly loads: ServerLoads
   ) {}
 
--- a/src/routing/forwarding.ts
+++ b/src/routing/forwarding.ts
@@ -5,10 +5,10 @@
 import type { LogSink } from '../observe/log-sink.js'
 import type { Metrics } from '../observe/metrics.js'
 import { firstEventShare } from '../placement/first-event-share.js'
-import type { PlaceQueue } from '../placement/place-queue.js'
+import type { PlacementQueue } from '../placement/placement-queue.js'
 import type { ServerLoads } from '../placement/server-loads.js'
 import type { AnswerSink } from './answer-sink.js'
-import { EventCutter } from './event-cutter.js'
+import { SseSplitter } from './sse-splitter.js'
 import { hashRequest } from './hash-request.js'
 import type { OpenExchange } from './open-exchange.js'
 import { planResend } from './plan-resend.js'
@@ -43,7 +43,7 @@
   readonly sender: Sender
   readonly servers: Servers
   readonly quarantine: Quarantine
-  readonly queue: PlaceQueue
+  readonly queue: PlacementQueue
   readonly loads: ServerLoads
 }
 
@@ -93,7 +93,7 @@
       const sentAt = this.tools.clock.now()
       const opened = await placed.opened
       const failure = opened.err ? opened.val : await this.relay(opened.val)
-      if (failure === undefined) return this.tools.queue.recordStay(this.service, this.tools.clock.now() - sentAt)
+      if (failure === undefined) return this.tools.queue.recordHoldTime(this.service, this.tools.clock.now() - sentAt)
       if (!this.plan(failure, placed.server)) return
     }
   }
@@ -138,7 +138,7 @@
       deadline: request.deadline,
       limit: Infinity,
       signal: this.abort.signal
-    }, { body: request.body ?? null, fingerprint: this.fingerprint, patience: this.getPatience(FIRST_PATIENCE) })
+    }, { body: request.body ?? null, fingerprint: this.fingerprint, headerTimeout: this.getPatience(FIRST_PATIENCE) })
   }
 
   /** A server that says nothing is given up only where another one may take over; silence alone is no reason otherwise. */
@@ -194,7 +194,7 @@
   }
 
   private async relayEvents (open: OpenExchange): Promise<SendFailure | undefined> {
-    const cutter = new EventCutter()
+    const cutter = new SseSplitter()
     for (;;) {
       const bytes = await open.exchange.read(this.getPatience(this.last === undefined ? FIRST_PATIENCE : BETWEEN_PATIENCE))
       if (bytes.err) return await this.fail(open, bytes.val)
@@ -219,8 +219,8 @@
     this.sink.begin(status, headers)
   }
 
-  private async endEvents (open: OpenExchange, cutter: EventCutter): Promise<SendFailure | undefined> {
-    if (!cutter.isClean) return await this.fail(open, { why: 'cut', sent: true, detail: 'it ended within an event' })
+  private async endEvents (open: OpenExchange, cutter: SseSplitter): Promise<SendFailure | undefined> {
+    if (!cutter.isAtBoundary) return await this.fail(open, { why: 'cut', sent: true, detail: 'it ended within an event' })
     open.end('answered')
     if (!this.begun) this.begin(open)
     this.sink.end()
@@ -267,7 +267,7 @@
     const outcome = gone ? 'caller left' : this.timedOut ? 'deadline' : refusal.cause
     log.write('warn', 'routing', 'gave a request up', { request: this.request.id, cause: outcome, ran: this.ran, begun: this.begun, waited: Math.round(clock.now() - this.request.arrived), tried: this.tried, detail: refusal.detail })
     this.count(outcome)
-    if (this.begun) this.sink.cut()
+    if (this.begun) this.sink.abort()
     else if (!gone) this.sink.refuse({ ...refusal, cause: this.timedOut ? 'deadline' : refusal.cause, ran: this.ran })
   }
 
--- a/src/routing/quarantine.ts
+++ b/src/routing/quarantine.ts
@@ -130,7 +130,7 @@
    * A copy of a crashing request that comes to a server another copy has just ended is refused there, and nothing is
    * known against it yet: sent on at once, it ended one server after another, faster than the word of it spreads.
    */
-  async waitForWord (server: string): Promise<void> {
+  async waitForLossReports (server: string): Promise<void> {
     const others = listOthers(this.members.all(), this.settings.instance)
     if (this.words.begin(server, others)) {
       const accused = this.lose(server)
--- a/src/routing/sender.ts
+++ b/src/routing/sender.ts
@@ -22,7 +22,7 @@
   readonly body: Buffer | null
   readonly fingerprint: string
   /** Longest wait for the head of the answer, ms. */
-  readonly patience: number
+  readonly headerTimeout: number
 }
 
 /** Carries one request to one server, and tells all that count or judge exchanges of its begin and end. */
@@ -44,7 +44,7 @@
   }
 
   /** Counts the exchange before the first wait, so that a choice made right before still holds. */
-  async send (server: BackendServer, request: ServerRequest, { body, fingerprint, patience }: SendOptions): Promise<Result<OpenExchange, SendFailure>> {
+  async send (server: BackendServer, request: ServerRequest, { body, fingerprint, headerTimeout: patience }: SendOptions): Promise<Result<OpenExchange, SendFailure>> {
     const exchange = new Exchange({
       clock: this.clock,
       agent: this.servers.agents[request.paced === true ? 'paced' : request.work],
@@ -65,8 +65,8 @@
   }
 
   /** Where nothing listens at the server, waits for what the other daemons had in flight there. */
-  async waitForWord ({ name, url }: BackendServer): Promise<void> {
-    if (await isGone(url)) await this.quarantine.waitForWord(name)
+  async waitForLossReports ({ name, url }: BackendServer): Promise<void> {
+    if (await isGone(url)) await this.quarantine.waitForLossReports(name)
   }
 
   private begin (server: BackendServer, request: ServerRequest, exchange: Exchange, fingerprint: string): OpenExchange {
--- a/src/routing/servers.ts
+++ b/src/routing/servers.ts
@@ -12,7 +12,7 @@
 import type { BackendServer } from './backend-server.js'
 import { Members } from '../peers/members.js'
 import { markSent } from './mark-sent.js'
-import { planPart } from './plan-part.js'
+import { planDaemonLimit } from './plan-daemon-limit.js'
 import type { ServerHealth } from './server-health.js'
 import { spreadRounding } from './spread-rounding.js'
 import { ServerViews } from './server-views.js'
@@ -90,7 +90,7 @@
         leaving: state === 'leaving' || (view !== undefined && view.state !== 'open'),
         inFlight,
         load: inFlight + (others ?? 0),
-        limit: Math.min(this.readLimit(name), planPart({ limit: view?.limit, others, daemons, fraction, rounding: spreadRounding({ server, daemon, daemons }) }))
+        limit: Math.min(this.readLimit(name), planDaemonLimit({ limit: view?.limit, others, daemons, fraction, rounding: spreadRounding({ server, daemon, daemons }) }))
       }
     })
   }
@@ -102,7 +102,7 @@
   }
 
   /** Requests of all daemons that the pool's servers take at once; undefined while an owner hasn't said. */
-  countPlaces (pool: string): number | undefined {
+  sumLimits (pool: string): number | undefined {
     const limits = this.list.all.filter(instance => instance.pool === pool && instance.state !== 'leaving').map(({ name }) => this.views.get(name)?.limit)
     return limits.reduce<number | undefined>((sum, limit) => sum === undefined || limit === undefined ? undefined : sum + limit, 0)
   }
--- a/src/routing/event-cutter.ts
+++ b/src/routing/sse-splitter.ts
@@ -21,11 +21,11 @@
  * @example
  * for (const event of cutter.push(bytes)) relay(event.bytes)
  */
-export class EventCutter {
+export class SseSplitter {
   private held = ''
 
   /** Whether nothing of an unfinished event is held. */
-  get isClean (): boolean {
+  get isAtBoundary (): boolean {
     return this.held === ''
   }
 
--- a/src/store/instance-list-relay.ts
+++ b/src/store/instance-list-relay.ts
@@ -6,7 +6,7 @@
 import type { Random } from '../kernel/random.js'
 import type { Settings } from '../kernel/settings.js'
 import { tokens } from '../kernel/tokens.js'
-import { listNear } from '../peers/list-near.js'
+import { listDomainMembers } from '../peers/list-domain-members.js'
 import { Members } from '../peers/members.js'
 import { peerHandlerPoint } from '../peers/peer-handler-point.js'
 import { PeerLinks } from '../peers/peer-links.js'
@@ -71,7 +71,7 @@
   /** A daemon that sees nobody else in its failure domain, or has just been paused, reads for itself. */
   private listReaders (): readonly string[] {
     const { instance: name, failureDomain } = this.settings
-    return rankOwners('instance list', listNear(this.members.all(), { name, failureDomain })).slice(0, READERS)
+    return rankOwners('instance list', listDomainMembers(this.members.all(), { name, failureDomain })).slice(0, READERS)
   }
 
   private listNames (): readonly string[] {
--- a/test/admission/gate.test.ts
+++ b/test/admission/gate.test.ts
@@ -16,7 +16,7 @@
 test('a request that is refused at once is not counted as one that waited', async t => {
   const clock = new VirtualClock()
   const account = new Account()
-  const dispatcher = { hasPlace: () => false, isOpen: () => true }
+  const dispatcher = { hasCapacity: () => false, isOpen: () => true }
   const configuration = { value: { callers: {}, limits: { queueWait: QUEUE_WAIT } } }
   const timeline = new Timeline(clock, { instance: 'entry-0' } as unknown as Settings)
   const shares = { count: () => {}, getFactor: () => 1 }
--- a/test/admission/pool-shares.test.ts
+++ b/test/admission/pool-shares.test.ts
@@ -31,7 +31,7 @@
   async ask (periods: number, asks: Readonly<Record<string, { readonly caller: string, readonly rate: number, readonly waits: boolean }>>): Promise<void> {
     for (let period = 0; period < periods; period++) {
       for (const [name, { caller, rate, waits }] of Object.entries(asks)) {
-        for (let i = 0; i < rate / 2; i++) this.shares.get(name)!.count(POOL, caller, { share: 1, queue: { hold: 100, countWaiting: () => new Map() }, waits })
+        for (let i = 0; i < rate / 2; i++) this.shares.get(name)!.count(POOL, caller, { share: 1, queue: { holdTime: 100, countWaiting: () => new Map() }, waits })
       }
       await this.clock.advance(500)
     }
@@ -40,7 +40,7 @@
   private create (name: string): PoolShares {
     const members = { owners: () => this.names } as unknown as Members
     const links = { send: (to: string, message: PeerMessage) => this.deliver(name, to, message) } as unknown as PeerLinks
-    const servers = { countPlaces: () => PLACES, setFraction: (_: string, fraction: number | undefined) => this.fractions.set(name, fraction) } as unknown as Servers
+    const servers = { sumLimits: () => PLACES, setFraction: (_: string, fraction: number | undefined) => this.fractions.set(name, fraction) } as unknown as Servers
     return new PoolShares(members, links, servers, { instance: name } as unknown as Settings, this.clock)
   }
 
--- a/test/batch/frozen-start.test.ts
+++ b/test/batch/frozen-start.test.ts
@@ -3,7 +3,7 @@
 import { ConfigurationHolder } from '../../src/config/configuration-holder.js'
 import { BatchRun } from '../../src/ownership/batch-run.js'
 import type { BatchWork } from '../../src/ownership/batch-work.js'
-import { DispatchedBatch } from '../../src/ownership/dispatched-batch.js'
+import { DispatchedItemRunner } from '../../src/ownership/dispatched-item-runner.js'
 import { Sender } from '../../src/routing/sender.js'
 import { Servers } from '../../src/routing/servers.js'
 import { DispatchBench } from '../helpers/dispatch-bench.js'
@@ -59,7 +59,7 @@
   const { trial, bench, server, take } = await start(t)
   const configuration = bench.container.resolve(ConfigurationHolder)
   configuration.offer({ ...configuration.value, version: 2, services: { drafts: { kind: 'model', pool: 'pool', model: 'model', idempotent: true } } })
-  const run = async (): Promise<void> => await bench.container.resolve(DispatchedBatch).run(take())
+  const run = async (): Promise<void> => await bench.container.resolve(DispatchedItemRunner).run(take())
   const frozen = run()
   trial.clock.freeze(FROZEN)
   await frozen
--- a/test/helpers/job-fleet.ts
+++ b/test/helpers/job-fleet.ts
@@ -1,10 +1,10 @@
 import type { Settings } from '../../src/kernel/settings.js'
 import { PauseWatch } from '../../src/kernel/pause-watch.js'
-import { EndLookup } from '../../src/jobs/end-lookup.js'
-import { EndWatch } from '../../src/jobs/end-watch.js'
+import { EndedJobLookup } from '../../src/jobs/ended-job-lookup.js'
+import { EndedJobWatch } from '../../src/jobs/ended-job-watch.js'
 import { JobAdoption } from '../../src/jobs/job-adoption.js'
-import { JobBook } from '../../src/jobs/job-book.js'
-import { JobContest } from '../../src/jobs/job-contest.js'
+import { JobRegistry } from '../../src/jobs/job-registry.js'
+import { OwnerConflictResolver } from '../../src/jobs/owner-conflict-resolver.js'
 import type { JobItem } from '../../src/jobs/job-item.js'
 import { JobOwner } from '../../src/jobs/job-owner.js'
 import { JobReader } from '../../src/jobs/job-reader.js'
@@ -12,7 +12,7 @@
 import type { JobRunner } from '../../src/jobs/job-runner.js'
 import type { OwnedJob } from '../../src/jobs/owned-job.js'
 import { Metrics } from '../../src/observe/metrics.js'
-import type { FleetCast } from '../../src/peers/fleet-cast.js'
+import type { FleetBroadcast } from '../../src/peers/fleet-broadcast.js'
 import type { Members } from '../../src/peers/members.js'
 import type { PeerHandler } from '../../src/peers/peer-handler.js'
 import type { PeerLinks } from '../../src/peers/peer-links.js'
@@ -29,7 +29,7 @@
 const BACK_AFTER = 500
 /** How long results of a job are kept, ms. */
 const RESULT_KEEP = 120_000
-interface Daemon { readonly name: string, readonly clock: PausableClock, readonly pauses: PauseWatch, readonly book: JobBook, readonly records: JobRecords, readonly owner: JobOwner, readonly reader: JobReader, finish: (item: string) => void }
+interface Daemon { readonly name: string, readonly clock: PausableClock, readonly pauses: PauseWatch, readonly book: JobRegistry, readonly records: JobRecords, readonly owner: JobOwner, readonly reader: JobReader, finish: (item: string) => void }
 
 /** Daemons with their books, owners and readers, on virtual time; what is sent to one that is held for dead is lost. */
 export class JobFleet {
@@ -90,17 +90,17 @@
       subscribe: () => () => {}
     } as unknown as Members
     const links = { send: (to: string, message: PeerMessage) => this.post(name, to, message) } as unknown as PeerLinks
-    const cast = { cast: (message: PeerMessage) => { for (const other of this.listMembers(name)) if (other !== name) this.post(name, other, message) } } as unknown as FleetCast
+    const fleetBroadcast = { broadcast: (message: PeerMessage) => { for (const other of this.listMembers(name)) if (other !== name) this.post(name, other, message) } } as unknown as FleetBroadcast
     let onResult: (job: OwnedJob) => void = () => {}
     const runner = { subscribe: (listener: (job: OwnedJob) => void) => { onResult = listener }, add: () => {}, remove: () => {} } as unknown as JobRunner
-    const book = new JobBook(cast)
+    const book = new JobRegistry(fleetBroadcast)
     const records = new JobRecords(this.store)
     const settings = { instance: name, failureDomain: 'z' } as unknown as Settings
     const pauses = new PauseWatch(clock)
     const owner = new JobOwner(records, runner, book, members, links, pauses, settings, { write: () => {} }, clock)
-    const contest = new JobContest(owner, book, pauses, settings, { write: () => {} }, clock)
-    const lookup = new EndLookup(records, members, links, pauses, settings, clock)
-    const ends = new EndWatch(owner, records, lookup, pauses, new Metrics(), { resultKeep: RESULT_KEEP }, { write: () => {} }, clock)
+    const contest = new OwnerConflictResolver(owner, book, pauses, settings, { write: () => {} }, clock)
+    const lookup = new EndedJobLookup(records, members, links, pauses, settings, clock)
+    const ends = new EndedJobWatch(owner, records, lookup, pauses, new Metrics(), { resultKeep: RESULT_KEEP }, { write: () => {} }, clock)
     const adoption = new JobAdoption(owner, book, records, members, settings, clock)
     const reader = new JobReader(owner, book, records, links, settings, { write: () => {} }, clock)
     this.handlers.set(name, [...book.extensions, ...owner.extensions, ...reader.extensions, ...lookup.extensions].map(({ value }) => value as PeerHandler))
--- a/test/helpers/simulate-crashes.ts
+++ b/test/helpers/simulate-crashes.ts
@@ -129,11 +129,11 @@
         })
       })
     })
-    const sender = { send, waitForWord: async ({ name }: BackendServer) => { if (isDown(name)) await quarantine.waitForWord(name) } } as unknown as Sender
+    const sender = { send, waitForLossReports: async ({ name }: BackendServer) => { if (isDown(name)) await quarantine.waitForLossReports(name) } } as unknown as Sender
     const fingerprintOf = (request: ServerRequest): string => fingerprints.get(request)!
     const fingerprints = new Map<ServerRequest, string>()
     return async request => {
-      const delivery = new Delivery(request, { servers, sender, quarantine, trials, clock, random, budget: new RetryBudget() }, { getPatience: left => left, placeWait: 500 })
+      const delivery = new Delivery(request, { servers, sender, quarantine, trials, clock, random, budget: new RetryBudget() }, { getTimeout: left => left, retryWait: 500 })
       fingerprints.set(request, (delivery as unknown as { fingerprint: string }).fingerprint)
       const answer = await delivery.open(request.body ?? null)
       if (answer.ok) delivery.end(true)
--- a/test/helpers/simulate-gates.ts
+++ b/test/helpers/simulate-gates.ts
@@ -1,9 +1,9 @@
 import { DemandMeter } from '../../src/admission/demand-meter.js'
-import type { PoolPart } from '../../src/admission/pool-part.js'
+import type { PoolAllocation } from '../../src/admission/pool-allocation.js'
 import { PoolQueue } from '../../src/admission/pool-queue.js'
 import { Random } from '../../src/kernel/random.js'
 import { splitPool } from '../../src/admission/split-pool.js'
-import { planPart } from '../../src/routing/plan-part.js'
+import { planDaemonLimit } from '../../src/routing/plan-daemon-limit.js'
 import type { Got } from './simulate-gate.js'
 
 /** A caller with a share, and its requests a second at each daemon. */
@@ -39,10 +39,10 @@
     while (index > 0 && events[index - 1]!.at > at) index--
     events.splice(index, 0, { at, run })
   }
-  let parts: ReadonlyMap<string, PoolPart> = new Map()
+  let parts: ReadonlyMap<string, PoolAllocation> = new Map()
   const meters = Array.from({ length: daemons }, () => new DemandMeter())
   const exchange = (period: number): void => {
-    const demands = new Map(meters.map((meter, daemon) => [String(daemon), meter.read(period, queues[daemon]!.hold, queues[daemon]!.countWaiting())]))
+    const demands = new Map(meters.map((meter, daemon) => [String(daemon), meter.read(period, queues[daemon]!.holdTime, queues[daemon]!.countWaiting())]))
     plan(now + lag / 2, () => {
       parts = splitPool(demands, places)
     })
@@ -51,7 +51,7 @@
   const counts = (): boolean => now > duration / 10
   const hasPlace = (daemon: number): boolean => {
     const others = known.reduce((sum, count, i) => i === daemon ? sum : sum + count, 0)
-    return inFlight[daemon]! < planPart({ limit: places, others, daemons, fraction: parts.get(String(daemon))?.fraction, rounding: (daemon + 0.5) / daemons })
+    return inFlight[daemon]! < planDaemonLimit({ limit: places, others, daemons, fraction: parts.get(String(daemon))?.fraction, rounding: (daemon + 0.5) / daemons })
   }
   const letIn = (daemon: number): void => { while (queues[daemon]!.size > 0 && hasPlace(daemon)) queues[daemon]!.take() }
   const start = (daemon: number, name: string, share: number, asked: number, cost: number): void => {
--- a/test/helpers/slot-fleet.ts
+++ b/test/helpers/slot-fleet.ts
@@ -8,17 +8,17 @@
 import type { ExchangeObserver } from '../../src/routing/exchange-observer.js'
 import type { Servers } from '../../src/routing/servers.js'
 import type { InstanceList } from '../../src/store/instance-list.js'
-import { PlaceQueue } from '../../src/placement/place-queue.js'
+import { PlacementQueue } from '../../src/placement/placement-queue.js'
 import { ServerLoads } from '../../src/placement/server-loads.js'
-import { SlotAsker } from '../../src/placement/slot-asker.js'
+import { SlotClient } from '../../src/placement/slot-client.js'
 import { SlotBroker } from '../../src/placement/slot-broker.js'
 import { SlotMap } from '../../src/placement/slot-map.js'
-import { StayTimes } from '../../src/placement/stay-times.js'
+import { SlotHoldTimes } from '../../src/placement/slot-hold-times.js'
 import type { VirtualClock } from './virtual-clock.js'
 
 const WAY = 1
 
-interface Daemon { readonly queue: PlaceQueue, readonly asker: SlotAsker, readonly broker: SlotBroker, readonly loads: ServerLoads, readonly observers: readonly ExchangeObserver[] }
+interface Daemon { readonly queue: PlacementQueue, readonly asker: SlotClient, readonly broker: SlotBroker, readonly loads: ServerLoads, readonly observers: readonly ExchangeObserver[] }
 
 interface SlotFleetOptions { readonly daemons: number, readonly servers: number, readonly slots: number, readonly clock: VirtualClock }
 
@@ -100,13 +100,13 @@
     const loads = new ServerLoads(clock, list, servers)
     const map = new SlotMap(members, list)
     void map.start()
-    const stays = new StayTimes()
+    const stays = new SlotHoldTimes()
     const broker = new SlotBroker(settings, loads, members, map, stays, metrics, clock, random)
     void broker.start()
     const links = { send: (to: string, message: PeerMessage) => this.post(name, to, message), dispatch: (message: PeerMessage, from: string) => this.dispatch(name, message, from) } as unknown as PeerLinks
-    const asker = new SlotAsker(settings, clock, random, links, loads, map, broker, metrics, { write: () => {} })
+    const asker = new SlotClient(settings, clock, random, links, loads, map, broker, metrics, { write: () => {} })
     const observers = [...loads.extensions, ...asker.extensions].map(({ value }) => value as ExchangeObserver).filter(({ onEnd }) => onEnd !== undefined)
-    return { queue: new PlaceQueue(loads, asker, stays, metrics, clock, random), asker, broker, loads, observers }
+    return { queue: new PlacementQueue(loads, asker, stays, metrics, clock, random), asker, broker, loads, observers }
   }
 
   private post (from: string, to: string, message: PeerMessage): void {
--- a/test/jobs/end-lookup.test.ts
+++ b/test/jobs/ended-job-lookup.test.ts
@@ -1,10 +1,10 @@
 import 'reflect-metadata'
 import test from 'ava'
 import { Ok, type Result } from 'ts-results'
-import { EndLookup } from '../../src/jobs/end-lookup.js'
+import { EndedJobLookup } from '../../src/jobs/ended-job-lookup.js'
 import { JobRecords } from '../../src/jobs/job-records.js'
 import { PauseWatch } from '../../src/kernel/pause-watch.js'
-import { findHub } from '../../src/peers/find-hub.js'
+import { findDomainLeader } from '../../src/peers/find-domain-leader.js'
 import type { Member } from '../../src/peers/member.js'
 import type { PeerHandler } from '../../src/peers/peer-handler.js'
 import type { PeerMessage } from '../../src/peers/peer-message.js'
@@ -16,7 +16,7 @@
 const JOB = 'j'
 const NAMES = ['d1', 'd2']
 const MEMBERS = NAMES.map(name => ({ instance: { name, failureDomain: 'z' }, state: 'alive', run: 1 })) as unknown as readonly Member[]
-const HUB = findHub(MEMBERS, 'z')!
+const HUB = findDomainLeader(MEMBERS, 'z')!
 const ASKER = NAMES.find(name => name !== HUB)!
 
 interface Pair {
@@ -25,7 +25,7 @@
   readonly pauses: PauseWatch
   /** How long the store takes to answer a look, and a message to come, ms. */
   readonly delays: { look: number, message: number }
-  readonly find: (name: string) => ReturnType<EndLookup['ask']>
+  readonly find: (name: string) => ReturnType<EndedJobLookup['ask']>
 }
 
 /** A hub and a daemon that asks it, before a store that reads at once and answers late. */
@@ -46,7 +46,7 @@
     const send = (to: string, message: PeerMessage): void => {
       clock.after(delays.message, () => { for (const handler of handlers.get(to)!) if (handler.type === message.type) handler.handle(message, name) })
     }
-    const lookup = new EndLookup(records, { all: () => MEMBERS }, { send }, pauses, { instance: name, failureDomain: 'z' }, clock)
+    const lookup = new EndedJobLookup(records, { all: () => MEMBERS }, { send }, pauses, { instance: name, failureDomain: 'z' }, clock)
     handlers.set(name, lookup.extensions.map(({ value }) => value as PeerHandler))
     return [name, lookup]
   }))
@@ -110,7 +110,7 @@
   const [clock, records] = [new VirtualClock(), new JobRecords(store)]
   let missed = 0
   const suspended = { now: () => clock.now() - missed, date: () => clock.date(), after: clock.after.bind(clock), every: clock.every.bind(clock) }
-  const lookup = new EndLookup(records, { all: () => [] }, { send: () => {} }, new PauseWatch(suspended), { instance: 'd1', failureDomain: 'z' }, suspended)
+  const lookup = new EndedJobLookup(records, { all: () => [] }, { send: () => {} }, new PauseWatch(suspended), { instance: 'd1', failureDomain: 'z' }, suspended)
   t.deepEqual(await lookup.ask([JOB]), Ok({ ended: [], seen: 0 }))
   await records.end(JOB)
   clock.freeze(20_000)
--- a/test/jobs/end-watch-outage.test.ts
+++ b/test/jobs/ended-job-watch-outage.test.ts
@@ -1,7 +1,7 @@
 import 'reflect-metadata'
 import test from 'ava'
-import { EndLookup } from '../../src/jobs/end-lookup.js'
-import { EndWatch } from '../../src/jobs/end-watch.js'
+import { EndedJobLookup } from '../../src/jobs/ended-job-lookup.js'
+import { EndedJobWatch } from '../../src/jobs/ended-job-watch.js'
 import type { JobOwner } from '../../src/jobs/job-owner.js'
 import { JobRecords } from '../../src/jobs/job-records.js'
 import { OwnedJob } from '../../src/jobs/owned-job.js'
@@ -31,8 +31,8 @@
   const job = new OwnedJob({ id: 'j', head: { host: 'h', path: '/', submittedAt: 0, total: 1, tokens: 1, owner: 'd', run: 1, parts: 1 }, items: [], segments: [], acceptedAt: 0, openAt: 0 })
   const owner = { list: () => [job], end: () => { job.ended = true } } as unknown as JobOwner
   const pauses = new PauseWatch(clock)
-  const lookup = new EndLookup(new JobRecords(store), { all: () => [] } as unknown as Members, { send: () => {} } as unknown as PeerLinks, pauses, { instance: 'd', failureDomain: 'z' } as unknown as Settings, clock)
-  const watch = new EndWatch(owner, new JobRecords(store), lookup, pauses, new Metrics(), { resultKeep: 120_000 }, { write: () => {} }, clock)
+  const lookup = new EndedJobLookup(new JobRecords(store), { all: () => [] } as unknown as Members, { send: () => {} } as unknown as PeerLinks, pauses, { instance: 'd', failureDomain: 'z' } as unknown as Settings, clock)
+  const watch = new EndedJobWatch(owner, new JobRecords(store), lookup, pauses, new Metrics(), { resultKeep: 120_000 }, { write: () => {} }, clock)
   await pauses.start()
   await watch.start()
   const readFor = (perSecond: number): void => {
--- a/test/jobs/end-watch.test.ts
+++ b/test/jobs/ended-job-watch.test.ts
@@ -1,6 +1,6 @@
 import 'reflect-metadata'
 import test from 'ava'
-import { findHub } from '../../src/peers/find-hub.js'
+import { findDomainLeader } from '../../src/peers/find-domain-leader.js'
 import type { Member } from '../../src/peers/member.js'
 import type { StoreError } from '../../src/store/store-error.js'
 import { JobFleet } from '../helpers/job-fleet.js'
@@ -100,7 +100,7 @@
   const fleet = new JobFleet()
   await accept(fleet, names)
   await fleet.time.advance(2_000)
-  const hub = findHub(names.map(name => ({ instance: { name, failureDomain: 'z' }, state: 'alive', run: 1 }) as unknown as Member), 'z')
+  const hub = findDomainLeader(names.map(name => ({ instance: { name, failureDomain: 'z' }, state: 'alive', run: 1 }) as unknown as Member), 'z')
   fleet.loses = (from, to, { type }) => type.startsWith('job ends') && (from === hub || to === hub)
   fleet.store.calls.length = 0
   await fleet.time.advance(20_000)
--- a/test/jobs/job-notes.test.ts
+++ b/test/jobs/job-checkpointer.test.ts
@@ -1,9 +1,9 @@
 import 'reflect-metadata'
 import test from 'ava'
 import { countUnnoted } from '../../src/jobs/count-unnoted.js'
-import type { JobBook } from '../../src/jobs/job-book.js'
+import type { JobRegistry } from '../../src/jobs/job-registry.js'
 import type { JobItem } from '../../src/jobs/job-item.js'
-import { JobNotes } from '../../src/jobs/job-notes.js'
+import { JobCheckpointer } from '../../src/jobs/job-checkpointer.js'
 import { JobOwner } from '../../src/jobs/job-owner.js'
 import { JobRecords } from '../../src/jobs/job-records.js'
 import type { JobRunner } from '../../src/jobs/job-runner.js'
@@ -19,11 +19,11 @@
 
 async function createDaemon (name: string, store: MemoryStore, clock: VirtualClock): Promise<Daemon> {
   const members = { run: 1, all: () => [], owners: () => [name] } as unknown as Members
-  const book = { subscribe: () => {}, tell: () => {}, get: () => undefined } as unknown as JobBook
+  const book = { subscribe: () => {}, tell: () => {}, get: () => undefined } as unknown as JobRegistry
   const runner = { subscribe: () => {}, add: () => {}, remove: () => {} } as unknown as JobRunner
   const records = new JobRecords(store)
   const owner = new JobOwner(records, runner, book, members, { send: () => {} }, new PauseWatch(clock), { instance: name } as unknown as Settings, { write: () => {} }, clock)
-  await new JobNotes(owner, records, { write: () => {} }, clock).start()
+  await new JobCheckpointer(owner, records, { write: () => {} }, clock).start()
   const advance = (item: string, events: number): void => {
     const state = owner.find('j')!.items.find(other => other.item.id === item)!
     for (let n = 0; n < events; n++) state.texts.push(`${item}${(state.last ?? 0) + n + 1}`)
--- a/test/jobs/job-owner.test.ts
+++ b/test/jobs/job-owner.test.ts
@@ -2,7 +2,7 @@
 import test from 'ava'
 import fc from 'fast-check'
 import type { ListedResult } from '../../src/jobs/listed-result.js'
-import type { JobBook } from '../../src/jobs/job-book.js'
+import type { JobRegistry } from '../../src/jobs/job-registry.js'
 import type { JobItem } from '../../src/jobs/job-item.js'
 import { JobAdoption } from '../../src/jobs/job-adoption.js'
 import { JobOwner } from '../../src/jobs/job-owner.js'
@@ -34,9 +34,9 @@
     const all = { run: 1, all: () => members.alive.map(instance => ({ instance: { name: instance }, state: 'alive', run: 1 })), owners: () => members.alive }
     const settings = { instance: name } as unknown as Settings
     const records = new JobRecords(store)
-    this.owner = new JobOwner(records, runner as unknown as JobRunner, book as unknown as JobBook, all as unknown as Members, { send: (to, message) => this.sent.push({ to, message }) }, new PauseWatch(clock), settings, { write: () => {} }, clock)
+    this.owner = new JobOwner(records, runner as unknown as JobRunner, book as unknown as JobRegistry, all as unknown as Members, { send: (to, message) => this.sent.push({ to, message }) }, new PauseWatch(clock), settings, { write: () => {} }, clock)
     void this.owner.start()
-    void new JobAdoption(this.owner, book as unknown as JobBook, records, all as unknown as Members, settings, clock).start()
+    void new JobAdoption(this.owner, book as unknown as JobRegistry, records, all as unknown as Members, settings, clock).start()
   }
 
   /** An item has ended here, with a text that says where. */
--- a/test/jobs/job-reader.test.ts
+++ b/test/jobs/job-reader.test.ts
@@ -1,7 +1,7 @@
 import 'reflect-metadata'
 import test from 'ava'
 import { Err, Ok } from 'ts-results'
-import type { JobBook } from '../../src/jobs/job-book.js'
+import type { JobRegistry } from '../../src/jobs/job-registry.js'
 import type { JobOwner } from '../../src/jobs/job-owner.js'
 import { JobReader } from '../../src/jobs/job-reader.js'
 import type { JobRecords } from '../../src/jobs/job-records.js'
@@ -28,7 +28,7 @@
     }
   }
   const book = { get: (id: string) => known.get(id), learn: (job: KnownJob) => { known.set(job.id, job) } }
-  const reader: JobReader = new JobReader(jobOwner as unknown as JobOwner, book as unknown as JobBook, records as unknown as JobRecords,
+  const reader: JobReader = new JobReader(jobOwner as unknown as JobOwner, book as unknown as JobRegistry, records as unknown as JobRecords,
     { send: (to: string) => asked.push(to) } as unknown as PeerLinks, { instance: 'd0' }, { write: () => {} }, clock)
   void reader.tellCare('job')
   await clock.advance(5_000)
--- a/test/jobs/job-runner.test.ts
+++ b/test/jobs/job-runner.test.ts
@@ -11,7 +11,7 @@
 import { Random } from '../../src/kernel/random.js'
 import { Metrics } from '../../src/observe/metrics.js'
 import type { ServerLoads } from '../../src/placement/server-loads.js'
-import type { SlotAsker } from '../../src/placement/slot-asker.js'
+import type { SlotClient } from '../../src/placement/slot-client.js'
 import type { OpenExchange } from '../../src/routing/open-exchange.js'
 import type { SendFailure } from '../../src/routing/send-failure.js'
 import type { Sender } from '../../src/routing/sender.js'
@@ -36,7 +36,7 @@
   const begun: string[] = []
   const sent: ServerRequest[] = []
   let asked = 0
-  const listeners: Array<Parameters<SlotAsker['subscribe']>[0]> = []
+  const listeners: Array<Parameters<SlotClient['subscribe']>[0]> = []
   const route = { host: 'h', pathPrefix: '/jobs/', services: [{ service: POOL, weight: 1 }], attempts: 3, jobs: { dueAfter: 60_000, giveUpAfter: 0, maxWaitingTokens: 0 } }
   const configuration = { value: { version: 1, routes: { r: route } } as unknown as Configuration } as unknown as ConfigurationHolder
   const send = async (_: unknown, request: ServerRequest): Promise<Result<OpenExchange, SendFailure>> => {
@@ -48,7 +48,7 @@
   }
   const runner = new JobRunner(
     { isOpen: () => true, markFull: () => {} } as unknown as ServerLoads,
-    { subscribe: (listener: typeof listeners[number]) => listeners.push(listener), askBatch: () => { asked++ } } as unknown as SlotAsker,
+    { subscribe: (listener: typeof listeners[number]) => listeners.push(listener), askBatch: () => { asked++ } } as unknown as SlotClient,
     { send } as unknown as Sender,
     { find: () => ({ name: SERVER, url: '' }) } as unknown as Servers,
     configuration, new ItemPace(), new PauseWatch(clock), new Metrics(), { buildHeaders: () => ({}) } as unknown as ServerDialect, { write: () => {} }, clock, new Random(1))
--- a/test/ownership/site-policy.test.ts
+++ b/test/ownership/site-policy.test.ts
@@ -2,7 +2,7 @@
 import { runSite } from '../../bench/policy/run-site.js'
 import { sites } from '../../bench/sites.js'
 import type { BatchPolicy } from '../../src/ownership/batch-policy.js'
-import { limitIdle } from '../../src/ownership/limit-idle.js'
+import { limitIdleStreams } from '../../src/ownership/limit-idle-streams.js'
 
 const LENGTH = 400_000
 const SEEDS = [1, 2, 3, 4, 5, 6, 7, 8]
@@ -63,7 +63,7 @@
 }
 
 test('a server of any size may have batch while it is idle, and keeps a slot free where it has two', t => {
-  for (let slots = 1; slots <= 512; slots++) t.true(limitIdle(slots) >= 1 && (slots === 1 || limitIdle(slots) < slots))
+  for (let slots = 1; slots <= 512; slots++) t.true(limitIdleStreams(slots) >= 1 && (slots === 1 || limitIdleStreams(slots) < slots))
 })
 
 function find (values: readonly number[], quantile: number): number {
--- a/test/peers/member-questions.test.ts
+++ b/test/peers/member-queries.test.ts
@@ -1,6 +1,6 @@
 import 'reflect-metadata'
 import test from 'ava'
-import { MemberQuestions } from '../../src/peers/member-questions.js'
+import { MemberQueries } from '../../src/peers/member-queries.js'
 import type { PeerHandler } from '../../src/peers/peer-handler.js'
 import type { PeerMessage } from '../../src/peers/peer-message.js'
 import { VirtualClock } from '../helpers/virtual-clock.js'
@@ -12,7 +12,7 @@
   const clock = new VirtualClock()
   const sent: Sent[] = []
   const links = { send: (to: string, message: PeerMessage) => { sent.push({ to, message }) } }
-  const questions = new MemberQuestions({ links, clock, question: 'question', answer: 'answer', timeout: 1_000, concurrency, tell, read: ({ value }) => Number(value) })
+  const questions = new MemberQueries({ links, clock, requestType: 'question', answerType: 'answer', timeout: 1_000, concurrency, handle: tell, read: ({ value }) => Number(value) })
   const handlers = questions.extensions.map(({ value }) => value as PeerHandler)
   const hear = (message: PeerMessage, from: string): void => handlers.find(({ type }) => type === message.type)?.handle(message, from)
   const answer = (to: string, value: number, from = to): void => hear({ type: 'answer', id: sent.find(other => other.to === to)!.message.id, value }, from)
@@ -42,7 +42,7 @@
     await run(scene)
     await scene.clock.advance(1_000)
     const told = await asked
-    t.deepEqual([[...told.answers], told.silent, ended], [answers, silent, after])
+    t.deepEqual([[...told.answers], told.unresponsive, ended], [answers, silent, after])
   })
 }
 
@@ -63,7 +63,7 @@
   await clock.advance(1_000)
   t.deepEqual(sent.map(({ to }) => to), ['a', 'b', 'c'])
   answer('c', 3)
-  const { answers, silent } = await asked
+  const { answers, unresponsive: silent } = await asked
   t.deepEqual([[...answers], silent], [[['a', 1], ['c', 3]], ['b']])
 })
 
--- a/test/report/build-report.test.ts
+++ b/test/report/build-report.test.ts
@@ -3,7 +3,7 @@
 import fc from 'fast-check'
 import { Account } from '../../src/admission/account.js'
 import type { AccountEntry } from '../../src/admission/account-entry.js'
-import { splitEntitled } from '../../src/admission/split-entitled.js'
+import { splitEntitlements } from '../../src/admission/split-entitlements.js'
 import { buildReportPage } from '../../src/report/build-report-page.js'
 import { buildReport } from '../../src/report/build-report.js'
 import { columns } from '../../src/report/columns.js'
@@ -70,7 +70,7 @@
 
 test('what callers are entitled to adds up to what was given, and nobody who had all it asked for is shorted', t => {
   t.notThrows(() => fc.assert(fc.property(fc.array(had, { minLength: 1, maxLength: 8 }), all => {
-    const entitled = splitEntitled(all)
+    const entitled = splitEntitlements(all)
     const given = all.reduce((sum, { got }) => sum + got, 0)
     t.true(Math.abs(entitled.reduce((sum, time) => sum + time, 0) - given) < 1e-6 || all.every(({ waited }) => !waited))
     t.true(all.every(({ got, waited }, i) => waited || entitled[i]! <= got + 1e-6))
--- a/test/routing/choose-server.test.ts
+++ b/test/routing/choose-server.test.ts
@@ -3,7 +3,7 @@
 import { Random } from '../../src/kernel/random.js'
 import type { BackendServer } from '../../src/routing/backend-server.js'
 import { chooseServer } from '../../src/routing/choose-server.js'
-import { planPart } from '../../src/routing/plan-part.js'
+import { planDaemonLimit } from '../../src/routing/plan-daemon-limit.js'
 import { stepServerHealth } from '../../src/routing/step-server-health.js'
 import { simulateChoice } from '../helpers/simulate-choice.js'
 
@@ -48,7 +48,7 @@
 
 test('daemons that know nothing of one another keep to the limit, and one alone has all of it', t => {
   t.notThrows(() => fc.assert(fc.property(fc.integer({ min: 1, max: 64 }), fc.integer({ min: 1, max: 400 }), (limit, daemons) => {
-    return planPart({ limit, others: undefined, daemons }) * daemons < limit + daemons && planPart({ limit, others: 0, daemons }) === limit
+    return planDaemonLimit({ limit, others: undefined, daemons }) * daemons < limit + daemons && planDaemonLimit({ limit, others: 0, daemons }) === limit
   }), { seed: 7, numRuns: 500 }))
 })
 
--- a/test/routing/withheld.test.ts
+++ b/test/routing/withheld.test.ts
@@ -17,5 +17,5 @@
   const answer = await sending
   t.like(answer.val, { cause: 'server failed', ran: 'not run' })
   t.is(server.requests.length, 0)
-  t.true(bench.dispatcher.hasPlace(bench.request('next')))
+  t.true(bench.dispatcher.hasCapacity(bench.request('next')))
 })
