--- a/src/fleet/news.ts
+++ b/src/fleet/change-notice.ts
@@ -1,5 +1,5 @@
 /** Which objects of a kind changed. */
-export interface News {
+export interface ChangeNotice {
   readonly kind: string
   readonly names: readonly string[]
   /** Whether those that went are gone for certain; left out where no answer of the store says this. */
--- a/src/fleet/decode-heartbeat.ts
+++ b/src/fleet/decode-heartbeat.ts
@@ -6,8 +6,8 @@
 export function decodeHeartbeat ({ n, parts }: PeerMessage): Heartbeat {
   const numbers = Array.isArray(parts) ? parts.map(Number) : []
   const kinds = watchedKinds.flatMap((kind, i) => {
-    const [told, age] = numbers.slice(2 * i, 2 * i + 2)
-    return told === undefined || age === undefined ? [] : [[kind, { told, age }] as const]
+    const [published, age] = numbers.slice(2 * i, 2 * i + 2)
+    return published === undefined || age === undefined ? [] : [[kind, { published, age }] as const]
   })
   return { next: Number(n), kinds: new Map(kinds) }
 }
--- a/src/fleet/fleet-watch.ts
+++ b/src/fleet/fleet-watch.ts
@@ -24,8 +24,8 @@
 import { decodeHeartbeat } from './decode-heartbeat.js'
 import { followKind } from './follow-kind.js'
 import { listWatchers } from './list-watchers.js'
-import type { News } from './news.js'
-import { NewsTeller } from './news-teller.js'
+import type { ChangeNotice } from './change-notice.js'
+import { ChangePublisher } from './change-publisher.js'
 import { planRemoval } from './plan-removal.js'
 import { watchedKinds } from './watched-kinds.js'
 import { WatcherContact } from './watcher-contact.js'
@@ -34,7 +34,7 @@
 const INSTANCES = 'instances'
 const CHECK_PERIOD = 500
 /** Between two questions to watchers, ms: both notice at once that this daemon lacks something. */
-const ASK_PAUSE = 250
+const MIN_REQUEST_INTERVAL = 250
 
 /**
  * What this daemon knows of the configuration and of the backend servers, from the store and from its peers.
@@ -48,25 +48,25 @@
 @scoped(Lifecycle.ContainerScoped)
 export class FleetWatch implements Part {
   readonly extensions = [
-    peerHandlerPoint.of({ type: 'fleet news', handle: (message, from) => this.hear(message, from) }),
-    peerHandlerPoint.of({ type: 'heartbeat', handle: (message, from) => this.hearHeartbeat(message, from) }),
-    peerHandlerPoint.of({ type: 'fleet ask', handle: (message, from) => this.teller.answer(message, from) })
+    peerHandlerPoint.of({ type: 'fleet news', handle: (message, from) => this.receiveNotice(message, from) }),
+    peerHandlerPoint.of({ type: 'heartbeat', handle: (message, from) => this.receiveHeartbeat(message, from) }),
+    peerHandlerPoint.of({ type: 'fleet ask', handle: (message, from) => this.publisher.sendMissing(message, from) })
   ]
 
   private readonly configurations = new StoreMirror<Configuration>()
   private readonly instances = new StoreMirror<Instance>()
   private readonly mirrors: ReadonlyMap<string, StoreMirror<any>> = new Map<string, StoreMirror<any>>([[CONFIGURATION, this.configurations], [INSTANCES, this.instances]])
-  private readonly teller: NewsTeller
+  private readonly publisher: ChangePublisher
   private readonly contact = new WatcherContact()
   /** By kind, when the store answered this daemon last, monotonic ms. */
   private readonly answeredAt = new Map<string, number>()
   /** Servers whose entries have gone and that are used on for a while: until when, monotonic ms. */
   private readonly held = new Map<string, { readonly instance: Instance, readonly until: number }>()
   private readonly ended = new AbortController()
-  private away = false
-  private backAt = -Infinity
-  private askedAt = -Infinity
-  private heartbeatAt = -Infinity
+  private isStoreUnavailable = false
+  private recoveredAt = -Infinity
+  private requestedAt = -Infinity
+  private nextHeartbeatAt = -Infinity
   private isWatcher = false
   private cancel = (): void => {}
 
@@ -84,14 +84,14 @@
     @inject(Metrics) metrics: Metrics
   ) {
     const startedAt = clock.now()
-    metrics.gauge('configuration_age_ms', () => Math.round(clock.now() - Math.max(startedAt, this.findAnswer(CONFIGURATION))))
+    metrics.gauge('configuration_age_ms', () => Math.round(clock.now() - Math.max(startedAt, this.findAnswerTime(CONFIGURATION))))
     list.polled = false
-    this.teller = new NewsTeller({ settings, members, links, mirrors: this.mirrors })
+    this.publisher = new ChangePublisher({ settings, members, links, mirrors: this.mirrors })
   }
 
   async start (): Promise<void> {
-    this.daemons.subscribe(() => this.publish())
-    this.isWatcher = this.isChosen()
+    this.daemons.subscribe(() => this.updateList())
+    this.isWatcher = this.isAssignedWatcher()
     void this.follow(CONFIGURATION, this.configurations)
     void this.follow(INSTANCES, this.instances)
     this.cancel = this.clock.every(CHECK_PERIOD, () => this.check())
@@ -119,72 +119,72 @@
       random: this.random,
       kind,
       getCursor: () => mirror.cursor,
-      wants: () => this.watches(kind),
-      onBatch: batch => this.takeBatch(kind, mirror, batch),
-      onFailure: error => this.noteFailure(kind, error)
+      shouldWatch: () => this.shouldWatch(kind),
+      onBatch: batch => this.applyBatch(kind, mirror, batch),
+      onFailure: error => this.recordFailure(kind, error)
     }, this.ended.signal)
   }
 
-  private watches (kind: string): boolean {
-    return this.mirrors.get(kind)!.cursor < 0 || this.isWatcher || this.contact.isSilent(kind, this.clock.now())
+  private shouldWatch (kind: string): boolean {
+    return this.mirrors.get(kind)!.cursor < 0 || this.isWatcher || this.contact.isUnresponsive(kind, this.clock.now())
   }
 
   /** When the store last answered this daemon or a watcher about the kind, monotonic ms. */
-  private findAnswer (kind: string): number {
-    return Math.max(this.answeredAt.get(kind) ?? -Infinity, this.contact.findAnswer(kind))
+  private findAnswerTime (kind: string): number {
+    return Math.max(this.answeredAt.get(kind) ?? -Infinity, this.contact.findAnswerTime(kind))
   }
 
   /** Whether this daemon is one of those that watch for its failure domain. */
-  private isChosen (): boolean {
+  private isAssignedWatcher (): boolean {
     const { instance, failureDomain } = this.settings
     return listWatchers(this.members.all(), failureDomain, instance).includes(instance)
   }
 
-  private takeBatch<T> (kind: string, mirror: StoreMirror<T>, batch: WatchBatch<T>): void {
-    this.noteAnswer({ kind, revision: batch.revision })
+  private applyBatch<T> (kind: string, mirror: StoreMirror<T>, batch: WatchBatch<T>): void {
+    this.recordAnswer({ kind, revision: batch.revision })
     this.answeredAt.set(kind, this.clock.now())
     const before = this.instances.list()
     const changed = mirror.apply(batch)
     const hold = this.planHold()
-    const doubted = hold === undefined ? this.endHolds(kind, batch) : []
-    const names = [...changed, ...doubted]
-    this.teller.tell({ kind, names, sure: hold === undefined, hold })
-    if (names.length > 0 || !this.list.known) this.use({ kind, names }, before)
+    const released = hold === undefined ? this.endHolds(kind, batch) : []
+    const names = [...changed, ...released]
+    this.publisher.publish({ kind, names, sure: hold === undefined, hold })
+    if (names.length > 0 || !this.list.known) this.applyChange({ kind, names }, before)
   }
 
-  private noteAnswer (detail: Readonly<Record<string, unknown>>): void {
-    if (!this.away) return
-    this.away = false
-    this.backAt = this.clock.now()
+  private recordAnswer (detail: Readonly<Record<string, unknown>>): void {
+    if (!this.isStoreUnavailable) return
+    this.isStoreUnavailable = false
+    this.recoveredAt = this.clock.now()
     this.log.write('info', 'fleet', 'the store answers again', detail)
   }
 
-  private noteFailure (kind: string, error: StoreError): void {
-    if (!this.away) this.log.write('warn', 'fleet', 'the store does not answer', { kind, error: error.type, reason: 'reason' in error ? error.reason : undefined })
-    this.away = true
-    if (this.holder.value.version === 0 || !this.list.known) this.ask()
+  private recordFailure (kind: string, error: StoreError): void {
+    if (!this.isStoreUnavailable) this.log.write('warn', 'fleet', 'the store does not answer', { kind, error: error.type, reason: 'reason' in error ? error.reason : undefined })
+    this.isStoreUnavailable = true
+    if (this.holder.value.version === 0 || !this.list.known) this.requestFromRandom()
   }
 
   /** News of another daemon, which may be a watcher's or an answer to a question. */
-  private hear ({ kind, batch, sure, hold }: PeerMessage, from: string): void {
-    const news = batch as WatchBatch<any>
+  private receiveNotice ({ kind, batch, sure, hold }: PeerMessage, from: string): void {
+    const received = batch as WatchBatch<any>
     const mirror = this.mirrors.get(String(kind))
-    if (mirror === undefined || !Array.isArray(news?.changed) || !Array.isArray(news.deleted)) return
-    if (typeof sure === 'boolean') this.contact.observeNews(String(kind), this.clock.now())
+    if (mirror === undefined || !Array.isArray(received?.changed) || !Array.isArray(received.deleted)) return
+    if (typeof sure === 'boolean') this.contact.recordNotice(String(kind), this.clock.now())
     const before = this.instances.list()
-    const names = mirror.merge(news)
-    const doubted = sure === true ? this.endHolds(String(kind), news) : []
-    if (news.after !== undefined) this.compare(String(kind), news.revision, from)
-    if (names.length === 0 && doubted.length === 0) return
-    const told = { kind: String(kind), names: [...names, ...doubted], sure: sure as boolean | undefined, hold: hold as number | undefined }
-    this.use(told, before)
-    if (this.isWatcher) this.teller.passOn(told, news, from)
+    const names = mirror.merge(received)
+    const released = sure === true ? this.endHolds(String(kind), received) : []
+    if (received.after !== undefined) this.requestIfBehind(String(kind), received.revision, from)
+    if (names.length === 0 && released.length === 0) return
+    const notice = { kind: String(kind), names: [...names, ...released], sure: sure as boolean | undefined, hold: hold as number | undefined }
+    this.applyChange(notice, before)
+    if (this.isWatcher) this.publisher.relay(notice, received, from)
   }
 
-  private hearHeartbeat (message: PeerMessage, from: string): void {
+  private receiveHeartbeat (message: PeerMessage, from: string): void {
     const heartbeat = decodeHeartbeat(message)
-    this.contact.observeHeartbeat(heartbeat, this.clock.now())
-    for (const [kind, { told }] of heartbeat.kinds) this.compare(kind, told, from)
+    this.contact.recordHeartbeat(heartbeat, this.clock.now())
+    for (const [kind, { published }] of heartbeat.kinds) this.requestIfBehind(kind, published, from)
   }
 
   /** Ends the doubt about servers that are gone for certain; gives back their names. */
@@ -193,20 +193,20 @@
   }
 
   /** Asks a daemon that has told everything up to `revision` for what this one lacks of it. */
-  private compare (kind: string, revision: number, from: string): void {
+  private requestIfBehind (kind: string, revision: number, from: string): void {
     const now = this.clock.now()
-    if (revision <= (this.mirrors.get(kind)?.complete ?? Infinity) || now < this.askedAt + ASK_PAUSE) return
-    this.askedAt = now
+    if (revision <= (this.mirrors.get(kind)?.complete ?? Infinity) || now < this.requestedAt + MIN_REQUEST_INTERVAL) return
+    this.requestedAt = now
     this.log.write('info', 'fleet', 'lacks news and asks for them', { kind, revision, complete: this.mirrors.get(kind)?.complete, from })
-    this.teller.ask(from)
+    this.publisher.requestMissing(from)
   }
 
   /**
    * Servers that went are used on for as long as this daemon would, or the one that tells of it: one that leaves watching to others
    * doesn't notice a short outage, in which the entries of servers that are well lapse.
    */
-  private use ({ kind, names, sure = false, hold = 0 }: News, before: ReadonlyMap<string, Instance>): void {
-    if (kind === CONFIGURATION) return this.useConfiguration()
+  private applyChange ({ kind, names, sure = false, hold = 0 }: ChangeNotice, before: ReadonlyMap<string, Instance>): void {
+    if (kind === CONFIGURATION) return this.applyConfiguration()
     const holdFor = sure ? 0 : Math.max(this.planHold() ?? 0, hold)
     const present = this.instances.list()
     for (const name of names) {
@@ -215,16 +215,16 @@
       if (isHeld) this.held.set(name, { instance, until: this.clock.now() + holdFor })
       this.log.write('info', 'fleet', 'a server changed', { server: name, state: present.get(name)?.state ?? (isHeld ? 'held' : 'gone') })
     }
-    this.publish()
+    this.updateList()
   }
 
-  private useConfiguration (): void {
+  private applyConfiguration (): void {
     for (const configuration of this.configurations.list().values()) {
       if (this.holder.offer(configuration)) this.log.write('info', 'fleet', 'a configuration is in force', { version: configuration.version, routes: Object.keys(configuration.routes ?? {}).length })
     }
   }
 
-  private publish (): void {
+  private updateList (): void {
     const present = this.instances.list()
     for (const name of [...this.held.keys()]) if (present.has(name)) this.held.delete(name)
     const held = [...this.held.values()].map(({ instance }) => instance)
@@ -233,19 +233,19 @@
 
   private check (): void {
     const now = this.clock.now()
-    const over = [...this.held].filter(([, { until }]) => now >= until).map(([name]) => name)
-    for (const name of over) this.held.delete(name)
-    if (over.length > 0) this.publish()
-    this.isWatcher = this.isChosen()
+    const expired = [...this.held].filter(([, { until }]) => now >= until).map(([name]) => name)
+    for (const name of expired) this.held.delete(name)
+    if (expired.length > 0) this.updateList()
+    this.isWatcher = this.isAssignedWatcher()
     // One that leaves watching to others makes no call that could show it.
-    if (!watchedKinds.some(kind => this.watches(kind))) this.noteAnswer({ by: 'watchers' })
-    if (this.away) this.ask()
-    if (this.isWatcher && now >= this.heartbeatAt) this.sendHeartbeat(now)
+    if (!watchedKinds.some(kind => this.shouldWatch(kind))) this.recordAnswer({ by: 'watchers' })
+    if (this.isStoreUnavailable) this.requestFromRandom()
+    if (this.isWatcher && now >= this.nextHeartbeatAt) this.sendHeartbeat(now)
   }
 
   private sendHeartbeat (now: number): void {
     const ages = new Map([...this.answeredAt].map(([kind, at]) => [kind, now - at]))
-    this.heartbeatAt = now + this.teller.sendHeartbeat(ages)
+    this.nextHeartbeatAt = now + this.publisher.sendHeartbeat(ages)
   }
 
   /**
@@ -255,14 +255,14 @@
    */
   private planHold (): number | undefined {
     const now = this.clock.now()
-    const until = planRemoval(now, { away: this.away, backAt: this.backAt })
+    const until = planRemoval(now, { isUnavailable: this.isStoreUnavailable, recoveredAt: this.recoveredAt })
     return until === undefined ? undefined : until - now
   }
 
   /** One daemon at random: the next question goes to another. */
-  private ask (): void {
+  private requestFromRandom (): void {
     const others = listOthers(this.members.all(), this.settings.instance)
-    if (others.length > 0) this.teller.ask(others[this.random.below(others.length)]!)
+    if (others.length > 0) this.publisher.requestMissing(others[this.random.below(others.length)]!)
   }
 }
 
--- a/src/fleet/follow-kind.ts
+++ b/src/fleet/follow-kind.ts
@@ -14,7 +14,7 @@
 /** Between a failed watch and the next, ms; short, as a daemon that hears nothing acts on what is old. */
 const RETRY = 250
 /** How often a daemon that leaves watching to others asks itself whether it still may, ms: a part of the 2 s above. */
-const LOOK = 250
+const RECHECK = 250
 
 interface FollowOptions<T> {
   readonly store: ObjectStore
@@ -23,21 +23,21 @@
   readonly kind: string
   readonly getCursor: () => number
   /** Whether to watch now; asked before each watch. */
-  readonly wants: () => boolean
+  readonly shouldWatch: () => boolean
   readonly onBatch: (batch: WatchBatch<T>) => void
   readonly onFailure: (error: StoreError) => void
 }
 
 /** Watches a kind of object for as long as `wants` says so, resuming where the last watch ended. Ends when `signal` does. */
 export async function followKind<T> (options: FollowOptions<T>, signal: AbortSignal): Promise<void> {
-  const { clock, random, wants } = options
+  const { clock, random, shouldWatch } = options
   while (!signal.aborted) {
-    const batch = wants() ? await readBatch(options) : undefined
+    const batch = shouldWatch() ? await readBatch(options) : undefined
     if (signal.aborted) return
     if (batch?.ok === true) options.onBatch(batch.val)
     else {
       if (batch !== undefined) options.onFailure(batch.val)
-      await pauseFor(clock, random.spread(batch === undefined ? LOOK : RETRY, 0.4))
+      await pauseFor(clock, random.spread(batch === undefined ? RECHECK : RETRY, 0.4))
     }
   }
 }
--- a/src/fleet/heartbeat.ts
+++ b/src/fleet/heartbeat.ts
@@ -1,7 +1,7 @@
 /** What a watcher's heartbeat says of one kind of object. */
 interface KindState {
   /** The revision up to which the watcher has told everything. */
-  readonly told: number
+  readonly published: number
   /** How long ago the store answered the watcher last, ms. */
   readonly age: number
 }
--- a/src/fleet/plan-removal.ts
+++ b/src/fleet/plan-removal.ts
@@ -1,11 +1,11 @@
 /** How long an entry may take to be back once the store has returned, ms: two seconds by the platform's word, and travel. */
-const BACK_WITHIN = 2_200
+const REGISTER_WITHIN = 2_200
 
-interface StoreReach {
+interface StoreState {
   /** Whether this daemon's last call to the store failed. */
-  readonly away: boolean
+  readonly isUnavailable: boolean
   /** Monotonic ms at which the store answered again after a failure; -Infinity before the first. */
-  readonly backAt: number
+  readonly recoveredAt: number
 }
 
 /**
@@ -15,7 +15,7 @@
  * at the store's return, they would leave the daemon with no server for the second or two in which they register anew.
  * Holding them for that long is enough, because one that isn't back by then has gone.
  */
-export function planRemoval (now: number, { away, backAt }: StoreReach): number | undefined {
-  if (away) return now + BACK_WITHIN
-  return now < backAt + BACK_WITHIN ? backAt + BACK_WITHIN : undefined
+export function planRemoval (now: number, { isUnavailable, recoveredAt }: StoreState): number | undefined {
+  if (isUnavailable) return now + REGISTER_WITHIN
+  return now < recoveredAt + REGISTER_WITHIN ? recoveredAt + REGISTER_WITHIN : undefined
 }
--- a/src/placement/batch-bids.ts
+++ b/src/placement/batch-bids.ts
@@ -2,7 +2,7 @@
 import { orderBatch } from './order-batch.js'
 
 /** How long a daemon's wish holds, ms: it is told again some twenty times a second while items wait. */
-const BID_KEPT = 150
+const BID_TTL = 150
 
 interface Bid extends BatchBid {
   readonly daemon: string
@@ -40,7 +40,7 @@
 
   /** Those that still hold, the most urgent first. */
   list (now: number): readonly Bid[] {
-    for (const [daemon, { at }] of this.bids) if (now >= at + BID_KEPT) this.bids.delete(daemon)
+    for (const [daemon, { at }] of this.bids) if (now >= at + BID_TTL) this.bids.delete(daemon)
     return orderBatch([...this.bids.values()], now)
   }
 }
--- a/src/placement/server-place.ts
+++ b/src/placement/candidate-server.ts
@@ -1,5 +1,5 @@
 /** One backend server as a place for requests. Counts are of all daemons, as far as told. */
-export interface ServerPlace {
+export interface CandidateServer {
   readonly server: string
   readonly failureDomain: string
   /** Requests that the server runs at once. */
--- a/src/placement/choose-place.ts
+++ b/src/placement/choose-server.ts
@@ -1,6 +1,6 @@
 import { rankOwners } from '../coordination/rank-owners.js'
 import type { Random } from '../kernel/random.js'
-import type { ServerPlace } from './server-place.js'
+import type { CandidateServer } from './candidate-server.js'
 
 interface ChooseOptions {
   readonly random: Random
@@ -11,7 +11,7 @@
 }
 
 /** Slots that must be free at the server of a key for it to go before the emptiest one. */
-const KEY_ROOM = 3
+const MIN_FREE_FOR_KEY = 3
 
 /**
  * Where an online request goes: a server with a free slot, or one where a batch item gives way; undefined where online
@@ -22,29 +22,29 @@
  * are a few ms old don't all choose the same. With none free, a server where this daemon runs batch itself is best: its
  * item is stopped in the same turn, another daemon's only once the news has come there.
  */
-export function choosePlace (places: readonly ServerPlace[], { random, key, avoided = [] }: ChooseOptions): ServerPlace | undefined {
-  const takes = places.filter(({ slots, online }) => online < slots)
-  const others = takes.filter(({ server }) => !avoided.includes(server))
-  const open = others.length > 0 ? others : takes
-  const idle = open.filter(place => getFree(place) > 0)
-  if (idle.length > 0) return findHolder(idle, key) ?? chooseMost(idle, getFree, random)
+export function chooseServer (candidates: readonly CandidateServer[], { random, key, avoided = [] }: ChooseOptions): CandidateServer | undefined {
+  const withOnlineRoom = candidates.filter(({ slots, online }) => online < slots)
+  const preferred = withOnlineRoom.filter(({ server }) => !avoided.includes(server))
+  const open = preferred.length > 0 ? preferred : withOnlineRoom
+  const idle = open.filter(candidate => getFree(candidate) > 0)
+  if (idle.length > 0) return findCacheHolder(idle, key) ?? chooseMost(idle, getFree, random)
   const own = open.filter(({ ownBatch }) => ownBatch > 0)
   return chooseMost(own.length > 0 ? own : open, ({ slots, online }) => slots - online, random)
 }
 
-function getFree ({ slots, online, batch }: ServerPlace): number {
+function getFree ({ slots, online, batch }: CandidateServer): number {
   return slots - online - batch
 }
 
-function findHolder (idle: readonly ServerPlace[], key: string | undefined): ServerPlace | undefined {
+function findCacheHolder (idle: readonly CandidateServer[], key: string | undefined): CandidateServer | undefined {
   if (key === undefined) return undefined
   const [first] = rankOwners(key, idle.map(({ server }) => server))
   const holder = idle.find(({ server }) => server === first)
-  return holder !== undefined && getFree(holder) >= KEY_ROOM ? holder : undefined
+  return holder !== undefined && getFree(holder) >= MIN_FREE_FOR_KEY ? holder : undefined
 }
 
-function chooseMost (places: readonly ServerPlace[], measure: (place: ServerPlace) => number, random: Random): ServerPlace | undefined {
-  const most = Math.max(...places.map(measure))
-  const best = places.filter(place => measure(place) === most)
+function chooseMost (candidates: readonly CandidateServer[], measure: (candidate: CandidateServer) => number, random: Random): CandidateServer | undefined {
+  const most = Math.max(...candidates.map(measure))
+  const best = candidates.filter(candidate => measure(candidate) === most)
   return best[random.below(best.length)]
 }
--- a/src/placement/is-late.ts
+++ b/src/placement/is-late.ts
@@ -1,6 +1,6 @@
 import { firstEventShare } from './first-event-share.js'
 
-interface Begun {
+interface TimedRequest {
   /** From when its target counts, monotonic ms. */
   readonly begun: number
   /** Target for its first event, ms from `begun`. */
@@ -8,6 +8,6 @@
 }
 
 /** Whether a request can't be in time any more, even if it begins now. */
-export function isLate ({ begun, target }: Begun, now: number): boolean {
+export function isLate ({ begun, target }: TimedRequest, now: number): boolean {
   return now - begun > target * (1 - firstEventShare)
 }
--- a/src/placement/late-share.ts
+++ b/src/placement/late-limiter.ts
@@ -3,14 +3,14 @@
 /** How long a queue that was quiet for as long goes by what comes, ms, before what runs shows how many slots that takes. */
 const RAMP = 2_000
 /** How fast the most that ran at once is forgotten, ms. */
-const PEAK_FOR = 2_000
+const PEAK_DECAY = 2_000
 
 interface Occupancy {
   readonly slots: number
   /** Slots that online requests have. */
   readonly online: number
   /** Mean time that a request keeps its slot, ms. */
-  readonly stay: number
+  readonly holdTime: number
 }
 
 /**
@@ -21,59 +21,59 @@
  * late request loses nothing by waiting for the end of the wave. So slots that those in time will take in a moment are kept for
  * them. Where slots stay free, as behind daemons that are short of processor time, late requests begin at once.
  */
-export class LateShare {
-  private fresh = 0
+export class LateLimiter {
+  private onTime = 0
   /** Since when requests come without a long pause, and when the last one was dealt with. */
-  private startedAt = -Infinity
-  private seenAt = -Infinity
+  private activeSince = -Infinity
+  private lastActiveAt = -Infinity
   /** Most requests in time that ran at once, as of `peakAt`. */
   private peak = 0
   private decayedAt = 0
   private peakAt = 0
   /** When late requests began that may still run. */
-  private begun: readonly number[] = []
+  private startedLate: readonly number[] = []
 
   /** Notes a request that can be in time. Times are monotonic ms. */
-  recordFresh (now: number): void {
-    this.noteUse(now)
+  recordOnTime (now: number): void {
+    this.recordActivity(now)
     this.decay(now)
-    this.fresh++
+    this.onTime++
   }
 
   /** Whether a late request may begin now; `use` says that it does. */
-  mayBegin (now: number, { slots, online, stay }: Occupancy): boolean {
-    this.noteUse(now)
-    this.begun = this.begun.filter(at => now < at + stay)
-    const running = Math.max(0, online - this.begun.length)
-    this.keepPeak(now, running)
-    const expected = this.estimateDemand(now, stay)
+  mayStart (now: number, { slots, online, holdTime }: Occupancy): boolean {
+    this.recordActivity(now)
+    this.startedLate = this.startedLate.filter(at => now < at + holdTime)
+    const running = Math.max(0, online - this.startedLate.length)
+    this.updatePeak(now, running)
+    const expected = this.estimateDemand(now, holdTime)
     return slots - online > Math.max(0, expected - running)
   }
 
-  use (now: number): void {
-    this.begun = [...this.begun, now]
+  recordStart (now: number): void {
+    this.startedLate = [...this.startedLate, now]
   }
 
-  private noteUse (now: number): void {
-    if (now > this.seenAt + RAMP) this.startedAt = now
-    this.seenAt = now
+  private recordActivity (now: number): void {
+    if (now > this.lastActiveAt + RAMP) this.activeSince = now
+    this.lastActiveAt = now
   }
 
   /** Slots that requests in time will have at once. Until a window is over nothing is known of them. */
-  private estimateDemand (now: number, stay: number): number {
-    if (now < this.startedAt + WINDOW) return Infinity
+  private estimateDemand (now: number, holdTime: number): number {
+    if (now < this.activeSince + WINDOW) return Infinity
     this.decay(now)
-    const arriving = this.fresh / WINDOW * stay
-    return now < this.startedAt + RAMP ? arriving : Math.min(arriving, this.peak)
+    const arriving = this.onTime / WINDOW * holdTime
+    return now < this.activeSince + RAMP ? arriving : Math.min(arriving, this.peak)
   }
 
-  private keepPeak (now: number, running: number): void {
-    this.peak = Math.max(running, this.peak * Math.exp(-(now - this.peakAt) / PEAK_FOR))
+  private updatePeak (now: number, running: number): void {
+    this.peak = Math.max(running, this.peak * Math.exp(-(now - this.peakAt) / PEAK_DECAY))
     this.peakAt = now
   }
 
   private decay (now: number): void {
-    this.fresh *= Math.exp(-(now - this.decayedAt) / WINDOW)
+    this.onTime *= Math.exp(-(now - this.decayedAt) / WINDOW)
     this.decayedAt = now
   }
 }
--- a/src/placement/load-row.ts
+++ b/src/placement/load-report.ts
@@ -1,2 +1,2 @@
 /** What one daemon has in flight: server, online requests, batch items. */
-export type LoadRow = ReadonlyArray<readonly [string, number, number]>
+export type LoadReport = ReadonlyArray<readonly [string, number, number]>
--- a/src/placement/placement-queue.ts
+++ b/src/placement/placement-queue.ts
@@ -5,7 +5,7 @@
 import type { Random } from '../kernel/random.js'
 import { tokens } from '../kernel/tokens.js'
 import { Metrics } from '../observe/metrics.js'
-import type { PlaceRequest } from './place-request.js'
+import type { PlacementRequest } from './placement-request.js'
 import { ServerLoads } from './server-loads.js'
 import { SlotClient } from './slot-client.js'
 import { SlotQueue } from './slot-queue.js'
@@ -21,8 +21,8 @@
 
   constructor (
     @inject(ServerLoads) private readonly loads: ServerLoads,
-    @inject(SlotClient) private readonly asker: SlotClient,
-    @inject(SlotHoldTimes) private readonly stays: SlotHoldTimes,
+    @inject(SlotClient) private readonly client: SlotClient,
+    @inject(SlotHoldTimes) private readonly holdTimes: SlotHoldTimes,
     @inject(Metrics) private readonly metrics: Metrics,
     @inject(tokens.clock) private readonly clock: Clock,
     @inject(tokens.random) private readonly random: Random
@@ -31,25 +31,25 @@
   }
 
   async start (): Promise<void> {
-    this.loads.subscribe(() => this.giveAll())
+    this.loads.subscribe(() => this.grantAll())
   }
 
   /** Calls `start` with a server at once or when a slot comes free, or `refuse` when that can't be in time. */
-  request (request: PlaceRequest): void {
-    this.asker.ask(request, () => this.findQueue(request.pool).request(request))
+  request (request: PlacementRequest): void {
+    this.client.requestSlot(request, () => this.findQueue(request.pool).request(request))
   }
 
   /** Notes how long a request kept its slot, ms. */
-  recordHoldTime (pool: string, stay: number): void {
-    this.stays.record(pool, stay)
+  recordHoldTime (pool: string, holdTime: number): void {
+    this.holdTimes.record(pool, holdTime)
   }
 
   private findQueue (pool: string): SlotQueue {
     const known = this.queues.get(pool)
     if (known !== undefined) return known
     const queue = new SlotQueue({
-      listPlaces: () => this.loads.listPlaces(pool),
-      getStay: () => this.stays.find(pool),
+      listCandidates: () => this.loads.listCandidates(pool),
+      getHoldTime: () => this.holdTimes.find(pool),
       clock: this.clock,
       random: this.random,
       metrics: this.metrics
@@ -58,8 +58,8 @@
     return queue
   }
 
-  private giveAll (): void {
-    for (const queue of this.queues.values()) if (queue.length > 0) queue.giveAll()
+  private grantAll (): void {
+    for (const queue of this.queues.values()) if (queue.length > 0) queue.grantAll()
   }
 }
 
--- a/src/placement/place-request.ts
+++ b/src/placement/placement-request.ts
@@ -1,7 +1,7 @@
 import type { Refusal } from '../admission/refusal.js'
 
 /** An online request that wants a slot at a server of the pool. Times in monotonic ms. */
-export interface PlaceRequest {
+export interface PlacementRequest {
   readonly pool: string
   readonly key?: string
   /** Servers to use only where no other one has a place. */
--- a/src/placement/plan-batch.ts
+++ b/src/placement/plan-batch.ts
@@ -1,4 +1,4 @@
-import type { ServerPlace } from './server-place.js'
+import type { CandidateServer } from './candidate-server.js'
 
 /** What is done with batch on one server. */
 interface BatchPlan {
@@ -15,7 +15,7 @@
 const HEADROOM = 1
 
 /** How batch gives way and fills: where requests are more than slots, as many items are stopped as there are too many. */
-export function planBatch ({ slots, online, batch }: Pick<ServerPlace, 'slots' | 'online' | 'batch'>): BatchPlan {
+export function planBatch ({ slots, online, batch }: Pick<CandidateServer, 'slots' | 'online' | 'batch'>): BatchPlan {
   const excess = online + batch - slots
   const stop = Math.max(0, Math.min(batch, excess))
   return { stop, start: stop > 0 ? 0 : Math.max(0, -excess - HEADROOM) }
--- a/src/placement/plan-wait.ts
+++ b/src/placement/plan-wait.ts
@@ -7,7 +7,7 @@
   /** Mean time between two slots that come free for this daemon. */
   readonly interval: number
   /** How long requests keep their slots. */
-  readonly stay: number
+  readonly holdTime: number
   /** Since its target counts. */
   readonly waited: number
   /** Target for its first event. */
@@ -23,15 +23,15 @@
 type Plan = { readonly type: 'wait', readonly recheckAfter: number } | { readonly type: 'refuse', readonly retryAfter: number }
 
 /** Share of the target within which a refusal still lets the caller come again and be served in time. */
-const EARLY = 0.2
+const EARLY_SHARE = 0.2
 /** A wait that is expected to take more than this share of the time that its answer and its caller leave is given up: nothing useful could come of it. */
-const PATIENCE = 0.5
+const MAX_EXPECTED_SHARE = 0.5
 /** A request that has waited for this share of all its time is given up, while its caller has time for something else. */
-const LONGEST_WAIT = 0.4
+const MAX_WAITED_SHARE = 0.4
 /** Between two looks at a request that is late, ms. */
-const RECHECK = 250
+const RECHECK_PERIOD = 250
 /** A refused caller comes back after this many targets, spread by its daemon: about half of a short burst. */
-const BACK_AFTER = 3
+const RETRY_AFTER_TARGETS = 3
 
 /**
  * Whether a request that finds no slot waits or is refused at once.
@@ -42,13 +42,13 @@
  * that it waits, since a late answer is better than none. A caller that comes back has no further try and isn't refused
  * early, nor for having waited long. Where the wait would leave no time for the answer itself, each is told so at once.
  */
-export function planWait ({ ahead, interval, stay, waited, target, left, beginWithin, returning }: WaitState): Plan {
+export function planWait ({ ahead, interval, holdTime, waited, target, left, beginWithin, returning }: WaitState): Plan {
   const expected = (ahead + 1) * interval
-  const refusal: Plan = { type: 'refuse', retryAfter: Math.max(BACK_AFTER * target, expected) }
-  if (expected > (left - stay) * PATIENCE || expected > beginWithin * (returning ? 1 : PATIENCE)) return refusal
-  if (!returning && waited > (waited + left) * LONGEST_WAIT) return refusal
-  const early = EARLY * target
+  const refusal: Plan = { type: 'refuse', retryAfter: Math.max(RETRY_AFTER_TARGETS * target, expected) }
+  if (expected > (left - holdTime) * MAX_EXPECTED_SHARE || expected > beginWithin * (returning ? 1 : MAX_EXPECTED_SHARE)) return refusal
+  if (!returning && waited > (waited + left) * MAX_WAITED_SHARE) return refusal
+  const early = EARLY_SHARE * target
   const isHopeless = expected > target * (1 - firstEventShare) - waited
   if (!returning && waited <= early && isHopeless) return refusal
-  return { type: 'wait', recheckAfter: waited < early ? early - waited : RECHECK }
+  return { type: 'wait', recheckAfter: waited < early ? early - waited : RECHECK_PERIOD }
 }
--- a/src/placement/server-loads.ts
+++ b/src/placement/server-loads.ts
@@ -8,7 +8,7 @@
 import { Servers } from '../routing/servers.js'
 import { InstanceList } from '../store/instance-list.js'
 import type { LoadCounts } from './load-counts.js'
-import type { ServerPlace } from './server-place.js'
+import type { CandidateServer } from './candidate-server.js'
 
 /** Slots of a server whose entry names none. */
 const DEFAULT_SLOTS = 8
@@ -47,10 +47,10 @@
   }
 
   /** Servers of the pool that take requests: not leaving, not ejected after failures, not just found full. */
-  listPlaces (pool: string): readonly ServerPlace[] {
+  listCandidates (pool: string): readonly CandidateServer[] {
     return this.servers.inPool(pool)
-      .filter(server => this.hasRoom(server))
-      .map(({ name, failureDomain }) => this.buildPlace(name, failureDomain))
+      .filter(server => this.isAvailable(server))
+      .map(({ name, failureDomain }) => this.buildCandidate(name, failureDomain))
   }
 
   /** Requests that the server runs at once. */
@@ -64,8 +64,8 @@
   }
 
   /** Servers of the pool that this daemon doesn't use for a while: they failed it, or said that they are full. */
-  listClosed (pool: string): readonly string[] {
-    return this.servers.inPool(pool).filter(server => !this.hasRoom(server)).map(({ name }) => name)
+  listUnavailable (pool: string): readonly string[] {
+    return this.servers.inPool(pool).filter(server => !this.isAvailable(server)).map(({ name }) => name)
   }
 
   /** This daemon's own requests at its servers. */
@@ -84,11 +84,11 @@
     this.listeners.add(listener)
   }
 
-  private hasRoom ({ name, leaving, inFlight, limit }: BackendServer): boolean {
+  private isAvailable ({ name, leaving, inFlight, limit }: BackendServer): boolean {
     return !leaving && inFlight < limit && this.clock.now() >= (this.fullUntil.get(name) ?? 0)
   }
 
-  private buildPlace (server: string, failureDomain: string): ServerPlace {
+  private buildCandidate (server: string, failureDomain: string): CandidateServer {
     const { online, batch } = this.own.get(server) ?? { online: 0, batch: 0 }
     return { server, failureDomain, slots: this.countSlots(server), online, batch, ownBatch: batch }
   }
--- a/src/placement/slot-broker.ts
+++ b/src/placement/slot-broker.ts
@@ -8,12 +8,12 @@
 import { Metrics } from '../observe/metrics.js'
 import { Members } from '../peers/members.js'
 import { BatchBids } from './batch-bids.js'
-import type { LoadRow } from './load-row.js'
+import type { LoadReport } from './load-report.js'
 import { planBatch } from './plan-batch.js'
 import { ServerLoads } from './server-loads.js'
-import type { ServerPlace } from './server-place.js'
-import type { SlotAnswer } from './slot-answer.js'
-import type { SlotAsk } from './slot-ask.js'
+import type { CandidateServer } from './candidate-server.js'
+import type { SlotResponse } from './slot-response.js'
+import type { SlotRequest } from './slot-request.js'
 import { SlotLedger } from './slot-ledger.js'
 import { SlotMap } from './slot-map.js'
 import { SlotQueue } from './slot-queue.js'
@@ -22,8 +22,8 @@
 /** How often what has grown old is dropped, and slots are looked for that a server's return or a lapsed grant freed, ms. */
 const CHECK_PERIOD = 500
 
-type OnlineAsk = Extract<SlotAsk, { work: 'online' }>
-type Send = (daemon: string, answer: SlotAnswer) => void
+type OnlineRequest = Extract<SlotRequest, { work: 'online' }>
+type Send = (daemon: string, answer: SlotResponse) => void
 
 interface IdleServer { readonly server: string, readonly start: number }
 
@@ -59,7 +59,7 @@
     @inject(ServerLoads) private readonly loads: ServerLoads,
     @inject(Members) private readonly members: Members,
     @inject(SlotMap) private readonly map: SlotMap,
-    @inject(SlotHoldTimes) private readonly stays: SlotHoldTimes,
+    @inject(SlotHoldTimes) private readonly holdTimes: SlotHoldTimes,
     @inject(Metrics) private readonly metrics: Metrics,
     @inject(tokens.clock) private readonly clock: Clock,
     @inject(tokens.random) private readonly random: Random
@@ -68,11 +68,11 @@
   }
 
   async start (): Promise<void> {
-    this.members.subscribe(() => this.dropEnded())
+    this.members.subscribe(() => this.dropEndedDaemons())
     this.cancel = this.clock.every(CHECK_PERIOD, () => {
       if (this.groups.size === 0) return
-      this.ledger.dropOld(this.clock.now())
-      this.giveAll()
+      this.ledger.dropExpired(this.clock.now())
+      this.grantAll()
     })
   }
 
@@ -86,35 +86,35 @@
   }
 
   /** Answers a daemon's question, now or when a slot comes free. */
-  ask (daemon: string, ask: SlotAsk): void {
-    this.noteRun(daemon)
-    const state = this.findState(ask.pool, ask.group)
-    if (ask.work === 'online') return this.giveOnline(daemon, state, ask)
+  handleRequest (daemon: string, request: SlotRequest): void {
+    this.recordRun(daemon)
+    const state = this.findGroupState(request.pool, request.group)
+    if (request.work === 'online') return this.grantOnline(daemon, state, request)
     const now = this.clock.now()
-    const { count, avoided, dueIn, remaining } = ask
+    const { count, avoided, dueIn, remaining } = request
     state.bids.put({ daemon, count, avoided, due: now + dueIn, remaining, at: now })
-    this.giveBatch(state)
+    this.grantBatch(state)
   }
 
   /** The daemon doesn't want the slot any more. */
-  cancelAsk (daemon: string, n: number): void {
-    this.waiting.get(`${daemon} ${n}`)?.abort()
+  cancelRequest (daemon: string, requestId: number): void {
+    this.waiting.get(`${daemon} ${requestId}`)?.abort()
   }
 
   /** Takes what a daemon has in flight, with all that it was told up to `seen`. */
-  take (daemon: string, row: LoadRow, seen: number): void {
-    this.noteRun(daemon)
-    this.ledger.put(daemon, row, seen, this.clock.now())
+  applyReport (daemon: string, report: LoadReport, seen: number): void {
+    this.recordRun(daemon)
+    this.ledger.put(daemon, report, seen, this.clock.now())
     // A daemon that had no answer has placed by itself.
-    for (const [server] of row) this.releaseExcess(server)
-    this.giveAll()
+    for (const [server] of report) this.revokeExcess(server)
+    this.grantAll()
   }
 
   /**
    * What a daemon had in flight ended with it. Kept until its rows are old, a killed daemon's slots stay taken for 3 s, in which requests
    * are refused although servers are free; it is back sooner than that, under a new run.
    */
-  private dropEnded (): void {
+  private dropEndedDaemons (): void {
     const runs = new Map(this.members.all().map(({ instance, run }) => [instance.name, run]))
     for (const [daemon, run] of this.runs) {
       if (runs.get(daemon) === run) continue
@@ -123,11 +123,11 @@
       for (const { bids } of this.groups.values()) bids.drop(daemon)
       for (const [key, abort] of this.waiting) if (key.startsWith(`${daemon} `)) abort.abort()
     }
-    this.giveAll()
+    this.grantAll()
   }
 
   /** Notes in which run a daemon is that asks or tells. */
-  private noteRun (daemon: string): void {
+  private recordRun (daemon: string): void {
     if (this.runs.has(daemon)) return
     const member = this.members.all().find(({ instance }) => instance.name === daemon)
     if (member !== undefined) this.runs.set(daemon, member.run)
@@ -139,17 +139,17 @@
   }
 
   /** Online requests that wait here for a slot. */
-  get waits (): number {
+  get waitingCount (): number {
     return this.waiting.size
   }
 
-  private findState (pool: string, group: number): GroupState {
+  private findGroupState (pool: string, group: number): GroupState {
     const key = `${pool} ${group}`
     const known = this.groups.get(key)
     if (known !== undefined) return known
     const queue = new SlotQueue({
-      listPlaces: () => this.listPlaces(pool, group),
-      getStay: () => this.stays.find(pool),
+      listCandidates: () => this.listCandidates(pool, group),
+      getHoldTime: () => this.holdTimes.find(pool),
       clock: this.clock,
       random: this.random,
       metrics: this.metrics
@@ -160,18 +160,18 @@
     return state
   }
 
-  private listPlaces (pool: string, group: number): readonly ServerPlace[] {
-    const silent = this.ledger.listSilent(this.clock.now())
-    return this.loads.listPlaces(pool)
+  private listCandidates (pool: string, group: number): readonly CandidateServer[] {
+    const unresponsive = this.ledger.listUnresponsive(this.clock.now())
+    return this.loads.listCandidates(pool)
       .filter(({ server }) => this.map.findGroup(pool, server) === group)
-      .map(place => ({ ...place, ...this.ledger.find(place.server, silent), ownBatch: 0 }))
+      .map(candidate => ({ ...candidate, ...this.ledger.find(candidate.server, unresponsive), ownBatch: 0 }))
   }
 
-  private giveAll (): void {
-    for (const { queue } of this.groups.values()) if (queue.length > 0) queue.giveAll()
+  private grantAll (): void {
+    for (const { queue } of this.groups.values()) if (queue.length > 0) queue.grantAll()
   }
 
-  private giveOnline (daemon: string, state: GroupState, { n, waited, sinceAsked, left, beginWithin, ...ask }: OnlineAsk): void {
+  private grantOnline (daemon: string, state: GroupState, { n, waited, sinceAsked, left, beginWithin, ...ask }: OnlineRequest): void {
     const { queue } = state
     const key = `${daemon} ${n}`
     // Asked again, because the answer didn't come: what was given lapses.
@@ -180,7 +180,7 @@
     const now = this.clock.now()
     let answered = false
     const settle = (): void => { if (this.waiting.get(key) === abort) this.waiting.delete(key) }
-    const answer = (message: SlotAnswer): void => {
+    const answer = (message: SlotResponse): void => {
       answered = true
       settle()
       this.send(daemon, message)
@@ -195,7 +195,7 @@
       signal: abort.signal,
       start: server => {
         const g = this.ledger.record(daemon, { at: this.clock.now(), server, online: 1, batch: 0 })
-        this.releaseExcess(server)
+        this.revokeExcess(server)
         answer({ type: 'grant', n, g, server, free: this.countFree(state) })
       },
       refuse: refusal => {
@@ -208,7 +208,7 @@
 
   /** Slots that no online request has: batch gives way. */
   private countFree ({ pool, group }: GroupState): number {
-    return this.listPlaces(pool, group).reduce((sum, { slots, online }) => sum + Math.max(0, slots - online), 0)
+    return this.listCandidates(pool, group).reduce((sum, { slots, online }) => sum + Math.max(0, slots - online), 0)
   }
 
   /**
@@ -216,13 +216,13 @@
    * slow to stop an item it waits in the engine meanwhile. A daemon that is asked in place of the broker by one alone doesn't know what
    * the others run, and would give their slots to batch.
    */
-  private giveBatch ({ pool, group, queue, bids }: GroupState): void {
+  private grantBatch ({ pool, group, queue, bids }: GroupState): void {
     if (queue.length > 0 || this.map.findBroker(pool, group) !== this.settings.instance) return
-    const wanted = bids.list(this.clock.now())
+    const pendingBids = bids.list(this.clock.now())
     // Looked up once and after each grant: for each wish anew, a backlog of batch takes a broker's processor time from its requests.
-    let idle = wanted.length === 0 ? [] : this.listIdle(pool, group)
-    for (const { daemon, count, avoided } of wanted) {
-      for (let given = 0; given < count && idle.length > 0; given++) {
+    let idle = pendingBids.length === 0 ? [] : this.listIdle(pool, group)
+    for (const { daemon, count, avoided } of pendingBids) {
+      for (let granted = 0; granted < count && idle.length > 0; granted++) {
         const server = this.chooseIdle(idle, avoided)
         if (server === undefined) break
         bids.use(daemon)
@@ -235,8 +235,8 @@
 
   /** Servers with slots that batch may take, and how many. */
   private listIdle (pool: string, group: number): readonly IdleServer[] {
-    return this.listPlaces(pool, group)
-      .map(place => ({ server: place.server, start: planBatch(place).start }))
+    return this.listCandidates(pool, group)
+      .map(candidate => ({ server: candidate.server, start: planBatch(candidate).start }))
       .filter(({ start }) => start > 0)
   }
 
@@ -249,11 +249,11 @@
   }
 
   /** Stops as many batch items as there are too many requests at the server, each time of the daemon with most. */
-  private releaseExcess (server: string): void {
-    const silent = this.ledger.listSilent(this.clock.now())
-    const { stop } = planBatch({ slots: this.loads.countSlots(server), ...this.ledger.find(server, silent) })
-    for (let stopped = 0; stopped < stop; stopped++) {
-      const daemon = this.ledger.findBatch(server, silent)
+  private revokeExcess (server: string): void {
+    const unresponsive = this.ledger.listUnresponsive(this.clock.now())
+    const { stop } = planBatch({ slots: this.loads.countSlots(server), ...this.ledger.find(server, unresponsive) })
+    for (let revoked = 0; revoked < stop; revoked++) {
+      const daemon = this.ledger.findMostBatch(server, unresponsive)
       if (daemon === undefined) return
       const g = this.ledger.record(daemon, { at: this.clock.now(), server, online: 0, batch: -1 })
       this.send(daemon, { type: 'revoke', g, server })
--- a/src/placement/slot-client.ts
+++ b/src/placement/slot-client.ts
@@ -13,39 +13,39 @@
 import type { PeerMessage } from '../peers/peer-message.js'
 import { exchangeObserverPoint } from '../routing/exchange-observer-point.js'
 import type { BatchBid } from './batch-bid.js'
-import type { LoadRow } from './load-row.js'
-import type { PlaceRequest } from './place-request.js'
+import type { LoadReport } from './load-report.js'
+import type { PlacementRequest } from './placement-request.js'
 import { ServerLoads } from './server-loads.js'
-import type { SlotAnswer } from './slot-answer.js'
-import type { SlotAsk } from './slot-ask.js'
+import type { SlotResponse } from './slot-response.js'
+import type { SlotRequest } from './slot-request.js'
 import { SlotBroker } from './slot-broker.js'
 import { SlotMap } from './slot-map.js'
-import { SlotRows } from './slot-rows.js'
-import { UsualDelay } from './usual-delay.js'
+import { LoadReporter } from './load-reporter.js'
+import { AdaptiveTimeout } from './adaptive-timeout.js'
 
-const ASK = 'slot ask'
-const ANSWER = 'slot answer'
+const REQUEST = 'slot ask'
+const RESPONSE = 'slot answer'
 const WITHDRAW = 'slot withdraw'
-const ROW = 'slot row'
+const LOAD_REPORT = 'slot row'
 const PROBE = 'slot probe'
 /** Bounds of the time, ms, within which a broker says something: a round trip is one or two, and its loop may be busy for some ten. */
-const ANSWER_WITHIN = { least: 100, most: 400 }
+const RESPONSE_TIMEOUT = { least: 100, most: 400 }
 /** How often a broker that is passed over is asked whether it is there, ms. */
 const PROBE_PERIOD = 500
 /** Brokers that one request asks, one after the other. */
 const MAX_BROKERS = 2
 /** How often a request that is queued at its broker asks again, ms, in case the broker ended. */
-const ASK_AGAIN = 1_000
+const QUEUED_RETRY_PERIOD = 1_000
 
 interface Pending {
-  readonly request: PlaceRequest
+  readonly request: PlacementRequest
   readonly group: number
   readonly broker: string
   /** Brokers that were asked before. */
-  readonly passed: number
+  readonly triedBrokers: number
   readonly fallBack: () => void
   /** Monotonic ms at which the broker was asked last. */
-  askedAt: number
+  sentAt: number
   /** Whether the broker has said that it waits. */
   isQueued: boolean
   cancel: () => void
@@ -69,23 +69,23 @@
 @scoped(Lifecycle.ContainerScoped)
 export class SlotClient implements Part {
   readonly extensions = [
-    peerHandlerPoint.of({ type: ASK, handle: ({ ask }, from) => this.broker.ask(from, ask as SlotAsk) }),
-    peerHandlerPoint.of({ type: WITHDRAW, handle: ({ n }, from) => this.broker.cancelAsk(from, Number(n)) }),
-    peerHandlerPoint.of({ type: ROW, handle: ({ row, seen }, from) => this.takeRow(from, row, seen) }),
-    peerHandlerPoint.of({ type: PROBE, handle: (_, from) => this.sendAnswer(from, { type: 'here' }) }),
-    peerHandlerPoint.of({ type: ANSWER, handle: ({ answer }, from) => this.handleAnswer(from, answer as SlotAnswer) }),
+    peerHandlerPoint.of({ type: REQUEST, handle: ({ ask }, from) => this.broker.handleRequest(from, ask as SlotRequest) }),
+    peerHandlerPoint.of({ type: WITHDRAW, handle: ({ n }, from) => this.broker.cancelRequest(from, Number(n)) }),
+    peerHandlerPoint.of({ type: LOAD_REPORT, handle: ({ row, seen }, from) => this.receiveLoadReport(from, row, seen) }),
+    peerHandlerPoint.of({ type: PROBE, handle: (_, from) => this.sendResponse(from, { type: 'here' }) }),
+    peerHandlerPoint.of({ type: RESPONSE, handle: ({ answer }, from) => this.handleResponse(from, answer as SlotResponse) }),
     // A broker knows of what it granted; of ends it must hear.
-    exchangeObserverPoint.of({ onBegin: () => {}, onEnd: () => this.rows.tellSoon() })
+    exchangeObserverPoint.of({ onBegin: () => {}, onEnd: () => this.reporter.reportSoon() })
   ]
 
-  private readonly rows: SlotRows
+  private readonly reporter: LoadReporter
   /** How long brokers take to answer. */
-  private readonly answering = new UsualDelay(ANSWER_WITHIN)
+  private readonly responseTimeout = new AdaptiveTimeout(RESPONSE_TIMEOUT)
   private readonly pending = new Map<number, Pending>()
   /** By pool and group: slots that were left when its broker last answered. */
   private readonly free = new Map<string, number>()
   private readonly listeners = new Set<BatchListener>()
-  private lastN = 0
+  private lastRequestId = 0
 
   constructor (
     @inject(tokens.settings) private readonly settings: Settings,
@@ -98,16 +98,16 @@
     @inject(Metrics) private readonly metrics: Metrics,
     @inject(tokens.log) private readonly log: LogSink
   ) {
-    broker.setSend((daemon, answer) => this.sendAnswer(daemon, answer))
-    this.rows = new SlotRows({ clock, loads, map, send: (to, row, seen) => this.sendTo(to, { type: ROW, row, seen }) })
+    broker.setSend((daemon, answer) => this.sendResponse(daemon, answer))
+    this.reporter = new LoadReporter({ clock, loads, map, send: (to, row, seen) => this.sendTo(to, { type: LOAD_REPORT, row, seen }) })
   }
 
   async start (): Promise<void> {
-    this.rows.start()
+    this.reporter.start()
   }
 
   async stop (): Promise<void> {
-    this.rows.stop()
+    this.reporter.stop()
   }
 
   /** `listener` hears of the slots that batch is given, and has to give back. */
@@ -116,8 +116,8 @@
   }
 
   /** Asks for a slot for an online request; `fallBack` runs where no broker can be asked. */
-  ask (request: PlaceRequest, fallBack: () => void): void {
-    this.askGroup(this.chooseGroup(request.pool), request, fallBack, 0)
+  requestSlot (request: PlacementRequest, fallBack: () => void): void {
+    this.requestFromGroup(this.chooseGroup(request.pool), request, fallBack, 0)
   }
 
   /** The freer of two groups drawn at random, as far as their brokers have told; one that hasn't is tried. */
@@ -128,55 +128,55 @@
     return getFree(second) > getFree(first) ? second : first
   }
 
-  private askGroup (group: number, request: PlaceRequest, fallBack: () => void, passed: number): void {
+  private requestFromGroup (group: number, request: PlacementRequest, fallBack: () => void, triedBrokers: number): void {
     const { pool, signal } = request
     const broker = this.map.findBroker(pool, group)
-    if (broker === undefined || passed >= MAX_BROKERS) return fallBack()
-    const n = ++this.lastN
-    const onAbort = (): void => this.cancelPending(n)
+    if (broker === undefined || triedBrokers >= MAX_BROKERS) return fallBack()
+    const requestId = ++this.lastRequestId
+    const onAbort = (): void => this.cancelPending(requestId)
     signal.addEventListener('abort', onAbort, { once: true })
     const settle = (): void => {
-      this.pending.get(n)?.cancel()
-      this.pending.delete(n)
+      this.pending.get(requestId)?.cancel()
+      this.pending.delete(requestId)
       signal.removeEventListener('abort', onAbort)
     }
-    this.pending.set(n, { request, group, broker, passed, fallBack, askedAt: this.clock.now(), isQueued: false, cancel: () => {}, settle })
-    this.sendAsk(n)
+    this.pending.set(requestId, { request, group, broker, triedBrokers, fallBack, sentAt: this.clock.now(), isQueued: false, cancel: () => {}, settle })
+    this.sendRequest(requestId)
   }
 
   /** Asks for slots for batch items; none may come. */
   askBatch (pool: string, { count, due, remaining }: BatchBid): void {
     const group = this.chooseGroup(pool)
     const broker = this.map.findBroker(pool, group)
-    const ask: SlotAsk = { work: 'batch', pool, group, avoided: this.loads.listClosed(pool), count, dueIn: due - this.clock.now(), remaining }
-    if (broker !== undefined) this.sendTo(broker, { type: ASK, ask })
+    const ask: SlotRequest = { work: 'batch', pool, group, avoided: this.loads.listUnavailable(pool), count, dueIn: due - this.clock.now(), remaining }
+    if (broker !== undefined) this.sendTo(broker, { type: REQUEST, ask })
   }
 
-  private sendAsk (n: number): void {
-    const pending = this.pending.get(n)
+  private sendRequest (requestId: number): void {
+    const pending = this.pending.get(requestId)
     if (pending === undefined) return
     const { request: { pool, key, avoided, arrived, asked, deadline, beginBy, target, priority, returning }, group, broker } = pending
     const now = this.clock.now()
-    pending.askedAt = now
-    pending.cancel = this.clock.after(this.answering.silentAfter, () => this.giveUp(n))
-    const ask: SlotAsk = { work: 'online', n, pool, group, avoided: [...avoided, ...this.loads.listClosed(pool)], waited: now - arrived, sinceAsked: now - asked, left: deadline - now, beginWithin: beginBy - now, target, priority, returning, ...key !== undefined && { key } }
-    this.sendTo(broker, { type: ASK, ask })
+    pending.sentAt = now
+    pending.cancel = this.clock.after(this.responseTimeout.timeout, () => this.handleTimeout(requestId))
+    const ask: SlotRequest = { work: 'online', n: requestId, pool, group, avoided: [...avoided, ...this.loads.listUnavailable(pool)], waited: now - arrived, sinceAsked: now - asked, left: deadline - now, beginWithin: beginBy - now, target, priority, returning, ...key !== undefined && { key } }
+    this.sendTo(broker, { type: REQUEST, ask })
   }
 
-  private giveUp (n: number): void {
-    const pending = this.pending.get(n)
+  private handleTimeout (requestId: number): void {
+    const pending = this.pending.get(requestId)
     if (pending === undefined) return
     pending.settle()
     this.metrics.count('slot_asks_total', { outcome: 'unanswered' })
-    this.sendTo(pending.broker, { type: WITHDRAW, n })
-    this.passOver(pending.broker)
-    this.askGroup(pending.group, pending.request, pending.fallBack, pending.passed + 1)
-    this.rows.tellSoon()
+    this.sendTo(pending.broker, { type: WITHDRAW, n: requestId })
+    this.bypassBroker(pending.broker)
+    this.requestFromGroup(pending.group, pending.request, pending.fallBack, pending.triedBrokers + 1)
+    this.reporter.reportSoon()
   }
 
-  private passOver (broker: string): void {
-    if (this.map.isSilent(broker)) return
-    this.map.setSilent(broker, true)
+  private bypassBroker (broker: string): void {
+    if (this.map.isUnresponsive(broker)) return
+    this.map.setUnresponsive(broker, true)
     this.log.write('warn', 'slots', 'passes a silent broker over', { broker })
     this.probe(broker)
   }
@@ -184,61 +184,61 @@
   /** Asked anything else, a broker that ended would keep each request waiting and get the rows that its successor needs. */
   private probe (broker: string): void {
     this.clock.after(PROBE_PERIOD, () => {
-      if (!this.map.isSilent(broker)) return
-      if (!this.map.isOwner(broker)) return this.map.setSilent(broker, false)
+      if (!this.map.isUnresponsive(broker)) return
+      if (!this.map.isEligible(broker)) return this.map.setUnresponsive(broker, false)
       this.sendTo(broker, { type: PROBE })
       this.probe(broker)
     })
   }
 
-  private cancelPending (n: number): void {
-    const pending = this.pending.get(n)
+  private cancelPending (requestId: number): void {
+    const pending = this.pending.get(requestId)
     if (pending === undefined) return
     pending.settle()
-    this.sendTo(pending.broker, { type: WITHDRAW, n })
+    this.sendTo(pending.broker, { type: WITHDRAW, n: requestId })
     pending.request.refuse({ cause: 'deadline', ran: 'not run', retryAfter: 0, detail: 'it was given up while it waited' })
   }
 
-  private handleAnswer (from: string, answer: SlotAnswer): void {
-    if (this.map.isSilent(from)) this.map.setSilent(from, false)
-    this.noteDelay(answer)
-    switch (answer?.type) {
-      case 'grant': return this.takeGrant(from, answer)
+  private handleResponse (from: string, response: SlotResponse): void {
+    if (this.map.isUnresponsive(from)) this.map.setUnresponsive(from, false)
+    this.recordDelay(response)
+    switch (response?.type) {
+      case 'grant': return this.handleGrant(from, response)
       case 'queued': {
-        const pending = this.pending.get(answer.n)
+        const pending = this.pending.get(response.n)
         if (pending === undefined) return
         this.free.set(`${pending.request.pool} ${pending.group}`, 0)
         pending.cancel()
-        pending.cancel = this.clock.after(ASK_AGAIN, () => this.sendAsk(answer.n))
+        pending.cancel = this.clock.after(QUEUED_RETRY_PERIOD, () => this.sendRequest(response.n))
         return
       }
-      case 'refused': return this.takeRefusal(answer)
+      case 'refused': return this.handleRefusal(response)
       case 'batch': {
-        this.rows.noteSeen(from, answer.g)
-        for (const listener of this.listeners) listener.onGrant(answer.pool, answer.server)
-        return this.rows.tellSoon()
+        this.reporter.recordSeen(from, response.g)
+        for (const listener of this.listeners) listener.onGrant(response.pool, response.server)
+        return this.reporter.reportSoon()
       }
       case 'revoke': {
-        this.rows.noteSeen(from, answer.g)
-        for (const listener of this.listeners) listener.onRevoke(answer.server)
-        return this.rows.tellSoon()
+        this.reporter.recordSeen(from, response.g)
+        for (const listener of this.listeners) listener.onRevoke(response.server)
+        return this.reporter.reportSoon()
       }
       case 'here':
       case undefined: return
-      default: return failUnreachable(answer)
+      default: return failUnreachable(response)
     }
   }
 
   /** A queued request is asked for again, and its slot comes whenever one is free: only the first word tells how fast the broker is. */
-  private noteDelay (answer: SlotAnswer): void {
-    if (answer?.type !== 'grant' && answer?.type !== 'queued' && answer?.type !== 'refused') return
-    const pending = this.pending.get(answer.n)
+  private recordDelay (response: SlotResponse): void {
+    if (response?.type !== 'grant' && response?.type !== 'queued' && response?.type !== 'refused') return
+    const pending = this.pending.get(response.n)
     if (pending === undefined || pending.isQueued) return
-    this.answering.record(this.clock.now() - pending.askedAt)
-    pending.isQueued = answer.type === 'queued'
+    this.responseTimeout.record(this.clock.now() - pending.sentAt)
+    pending.isQueued = response.type === 'queued'
   }
 
-  private takeRefusal ({ n, refusal }: Extract<SlotAnswer, { type: 'refused' }>): void {
+  private handleRefusal ({ n, refusal }: Extract<SlotResponse, { type: 'refused' }>): void {
     const pending = this.pending.get(n)
     if (pending === undefined) return
     pending.settle()
@@ -248,27 +248,27 @@
   }
 
   /** A slot that isn't used goes back with the next row, which says that the grant was seen. */
-  private takeGrant (from: string, { n, g, server, free }: Extract<SlotAnswer, { type: 'grant' }>): void {
-    this.rows.noteSeen(from, g)
+  private handleGrant (from: string, { n, g, server, free }: Extract<SlotResponse, { type: 'grant' }>): void {
+    this.reporter.recordSeen(from, g)
     const pending = this.pending.get(n)
-    if (pending === undefined) return this.rows.tellSoon()
+    if (pending === undefined) return this.reporter.reportSoon()
     pending.settle()
     this.free.set(`${pending.request.pool} ${pending.group}`, free)
     if (!this.loads.isOpen(server)) {
-      this.rows.tellSoon()
+      this.reporter.reportSoon()
       return pending.fallBack()
     }
     this.metrics.count('slot_asks_total', { outcome: 'granted' })
     pending.request.start(server)
   }
 
-  private takeRow (from: string, told: unknown, seen: unknown): void {
-    if (Array.isArray(told)) this.broker.take(from, told as LoadRow, Number(seen) || 0)
+  private receiveLoadReport (from: string, report: unknown, seen: unknown): void {
+    if (Array.isArray(report)) this.broker.applyReport(from, report as LoadReport, Number(seen) || 0)
   }
 
-  private sendAnswer (daemon: string, answer: SlotAnswer): void {
-    if (daemon === this.settings.instance) this.handleAnswer(daemon, answer)
-    else this.links.send(daemon, { type: ANSWER, answer })
+  private sendResponse (daemon: string, answer: SlotResponse): void {
+    if (daemon === this.settings.instance) this.handleResponse(daemon, answer)
+    else this.links.send(daemon, { type: RESPONSE, answer })
   }
 
   /** This daemon may be the broker itself. */
--- a/src/placement/slot-hold-times.ts
+++ b/src/placement/slot-hold-times.ts
@@ -1,7 +1,7 @@
 import { Lifecycle, scoped } from 'tsyringe'
 
 /** Time that a request keeps its slot, ms, before any has ended. */
-const FIRST_STAY = 800
+const DEFAULT_HOLD_TIME = 800
 /** Weight of the newest stay. */
 const WEIGHT = 0.05
 
@@ -11,13 +11,13 @@
   private readonly means = new Map<string, number>()
 
   /** Notes one stay, ms. */
-  record (pool: string, stay: number): void {
+  record (pool: string, holdTime: number): void {
     const known = this.find(pool)
-    this.means.set(pool, known + WEIGHT * (stay - known))
+    this.means.set(pool, known + WEIGHT * (holdTime - known))
   }
 
   /** The mean, ms, in which the newest count most. */
   find (pool: string): number {
-    return this.means.get(pool) ?? FIRST_STAY
+    return this.means.get(pool) ?? DEFAULT_HOLD_TIME
   }
 }
--- a/src/placement/slot-map.ts
+++ b/src/placement/slot-map.ts
@@ -12,7 +12,7 @@
   private readonly groups = new Map<string, number>()
   private readonly brokers = new Map<string, string | undefined>()
   /** Brokers that didn't answer. */
-  private readonly silent = new Set<string>()
+  private readonly unresponsive = new Set<string>()
 
   constructor (
     @inject(Members) private readonly members: Members,
@@ -30,45 +30,45 @@
 
   /** Groups of a pool. */
   countGroups (pool: string): number {
-    return findOnce(this.counts, pool, () => slotGroups.count(this.list.all.filter(instance => instance.pool === pool).length))
+    return findCached(this.counts, pool, () => slotGroups.count(this.list.all.filter(instance => instance.pool === pool).length))
   }
 
   findGroup (pool: string, server: string): number {
-    return findOnce(this.groups, server, () => slotGroups.find(server, this.countGroups(pool)))
+    return findCached(this.groups, server, () => slotGroups.find(server, this.countGroups(pool)))
   }
 
   /** The daemon that gives the slots of a group; undefined while this one knows no daemon for sure, or none that answers. */
   findBroker (pool: string, group: number): string | undefined {
-    return findOnce(this.brokers, `${pool} ${group}`, () => slotGroups.findBroker(pool, group, this.members.owners().filter(name => !this.silent.has(name))))
+    return findCached(this.brokers, `${pool} ${group}`, () => slotGroups.findBroker(pool, group, this.members.owners().filter(name => !this.unresponsive.has(name))))
   }
 
   /** Goes by the next in rank for the groups of a broker that doesn't answer, or by that broker again. */
-  setSilent (broker: string, isSilent: boolean): void {
-    if (isSilent) this.silent.add(broker)
-    else this.silent.delete(broker)
+  setUnresponsive (broker: string, isUnresponsive: boolean): void {
+    if (isUnresponsive) this.unresponsive.add(broker)
+    else this.unresponsive.delete(broker)
     this.brokers.clear()
   }
 
   /** Whether a broker is passed over. */
-  isSilent (broker: string): boolean {
-    return this.silent.has(broker)
+  isUnresponsive (broker: string): boolean {
+    return this.unresponsive.has(broker)
   }
 
   /** Whether the daemon may be a broker, by what membership knows. */
-  isOwner (daemon: string): boolean {
+  isEligible (daemon: string): boolean {
     return this.members.owners().includes(daemon)
   }
 
   /** The broker of a server's group; undefined where the server isn't known any more. */
-  findBrokerOf (server: string): string | undefined {
+  findBrokerForServer (server: string): string | undefined {
     const pool = this.list.find(server)?.pool
     return pool === undefined ? undefined : this.findBroker(pool, this.findGroup(pool, server))
   }
 }
 
-function findOnce<T> (known: Map<string, T>, key: string, find: () => T): T {
-  if (!known.has(key)) known.set(key, find())
-  return known.get(key) as T
+function findCached<T> (cache: Map<string, T>, key: string, find: () => T): T {
+  if (!cache.has(key)) cache.set(key, find())
+  return cache.get(key) as T
 }
 
 partRegistry.register({ name: 'slot map', part: SlotMap, needs: ['members', 'instance list'] })
--- a/src/placement/slot-queue.ts
+++ b/src/placement/slot-queue.ts
@@ -2,34 +2,34 @@
 import type { Clock } from '../kernel/clock.js'
 import type { Random } from '../kernel/random.js'
 import type { Metrics } from '../observe/metrics.js'
-import { choosePlace } from './choose-place.js'
+import { chooseServer } from './choose-server.js'
 import { compareWaiting } from './compare-waiting.js'
 import { isLate } from './is-late.js'
-import { LateShare } from './late-share.js'
-import type { PlaceRequest } from './place-request.js'
+import { LateLimiter } from './late-limiter.js'
+import type { PlacementRequest } from './placement-request.js'
 import { planWait } from './plan-wait.js'
-import type { ServerPlace } from './server-place.js'
+import type { CandidateServer } from './candidate-server.js'
 
 /** Come back after this where no server is open, ms: the time in which a server starts or its entry comes back. */
-const NO_SERVER_RETRY = 600
+const NO_SERVER_RETRY_AFTER = 600
 /** A refused caller's pause is spread by this share either way, so that a burst doesn't come back as one. */
-const SPREAD = 0.5
+const RETRY_JITTER = 0.5
 /** How long before its caller leaves a late request may begin in any case, ms: some are found only when the next slot comes free. */
-const PRESSED = 900
+const LATE_START_MARGIN = 900
 /** How often it is looked whether a late request may begin, ms. */
-const LATE_PERIOD = 30
+const LATE_RECHECK_PERIOD = 30
 
 interface SlotQueueOptions {
   /** The places that the queue gives, as they are now. */
-  readonly listPlaces: () => readonly ServerPlace[]
+  readonly listCandidates: () => readonly CandidateServer[]
   /** Mean time that a request keeps its slot, ms. */
-  readonly getStay: () => number
+  readonly getHoldTime: () => number
   readonly clock: Clock
   readonly random: Random
   readonly metrics: Metrics
 }
 
-interface Waiting extends PlaceRequest {
+interface Waiting extends PlacementRequest {
   readonly since: number
   /** From when its target counts. */
   readonly begun: number
@@ -42,9 +42,9 @@
  */
 export class SlotQueue {
   private readonly queue: Waiting[] = []
-  private giving = false
-  private givingSoon = false
-  private readonly lateShare = new LateShare()
+  private isGranting = false
+  private isGrantScheduled = false
+  private readonly lateLimiter = new LateLimiter()
   /** When a caller was last refused here: one that first asked before that may be that one, whose target begins anew. */
   private refusedAt = -Infinity
 
@@ -55,28 +55,28 @@
   }
 
   /** Calls `start` with a server at once or when a slot comes free, or `refuse` when that can't be in time. */
-  request (request: PlaceRequest): void {
+  request (request: PlacementRequest): void {
     const now = this.options.clock.now()
     const begun = request.asked > this.refusedAt ? request.asked : request.arrived
     const late = isLate({ begun, target: request.target }, now)
-    if (!late) this.lateShare.recordFresh(now)
+    if (!late) this.lateLimiter.recordOnTime(now)
     const isFirst = this.queue.length === 0 && !late
-    const place = isFirst ? this.choose(request, this.options.listPlaces()) : undefined
+    const place = isFirst ? this.choose(request, this.options.listCandidates()) : undefined
     if (place !== undefined) return request.start(place.server)
     this.wait({ ...request, begun })
     // Behind held late requests a slot may be free; one that came first has just found none.
-    if (!isFirst) this.giveAll()
+    if (!isFirst) this.grantAll()
   }
 
   /** Gives what is free to those that wait. A request that starts changes the counts, which calls this again: only the outer call gives. */
-  giveAll (): void {
-    if (this.giving) return
-    this.giving = true
-    this.give()
-    this.giving = false
+  grantAll (): void {
+    if (this.isGranting) return
+    this.isGranting = true
+    this.grantFree()
+    this.isGranting = false
   }
 
-  private wait (request: PlaceRequest & Pick<Waiting, 'begun'>): void {
+  private wait (request: PlacementRequest & Pick<Waiting, 'begun'>): void {
     let cancel = (): void => {}
     const onAbort = (): void => this.drop(waiting, { cause: 'deadline', ran: 'not run', retryAfter: 0, detail: 'it was given up while it waited' })
     const waiting: Waiting = {
@@ -99,31 +99,31 @@
 
   /** A refusal, or ms after which to ask again. */
   private plan (waiting: Waiting): Refusal | number {
-    const { listPlaces, clock } = this.options
-    const places = listPlaces()
-    if (places.length === 0 && !waiting.returning) return this.refuse('no server', NO_SERVER_RETRY, 'no server of the pool is open')
+    const { listCandidates, clock } = this.options
+    const candidates = listCandidates()
+    if (candidates.length === 0 && !waiting.returning) return this.buildRefusal('no server', NO_SERVER_RETRY_AFTER, 'no server of the pool is open')
     const now = clock.now()
     const plan = planWait({
       ahead: this.queue.filter(other => other !== waiting && compareWaiting(other, waiting, now) < 0).length,
-      interval: this.estimateInterval(places),
-      stay: this.options.getStay(),
+      interval: this.estimateInterval(candidates),
+      holdTime: this.options.getHoldTime(),
       waited: now - waiting.begun,
       target: waiting.target,
       left: waiting.deadline - now,
       beginWithin: waiting.beginBy - now,
       returning: waiting.returning
     })
-    return plan.type === 'wait' ? plan.recheckAfter : this.refuse('overloaded', plan.retryAfter, `every slot is taken and ${this.queue.length - 1} wait`)
+    return plan.type === 'wait' ? plan.recheckAfter : this.buildRefusal('overloaded', plan.retryAfter, `every slot is taken and ${this.queue.length - 1} wait`)
   }
 
   /** Mean time between two slots of all servers that come free, ms. */
-  private estimateInterval (places: readonly ServerPlace[]): number {
-    return this.options.getStay() / Math.max(1, countSlots(places))
+  private estimateInterval (candidates: readonly CandidateServer[]): number {
+    return this.options.getHoldTime() / Math.max(1, countSlots(candidates))
   }
 
-  private refuse (cause: Refusal['cause'], retryAfter: number, detail: string): Refusal {
+  private buildRefusal (cause: Refusal['cause'], retryAfter: number, detail: string): Refusal {
     this.refusedAt = this.options.clock.now()
-    return { cause, ran: 'not run', retryAfter: this.options.random.spread(retryAfter, SPREAD), detail }
+    return { cause, ran: 'not run', retryAfter: this.options.random.spread(retryAfter, RETRY_JITTER), detail }
   }
 
   private drop (waiting: Waiting, refusal: Refusal): void {
@@ -139,36 +139,36 @@
     return true
   }
 
-  private mayBeginLate (now: number, places: readonly ServerPlace[]): boolean {
-    const online = places.reduce((sum, place) => sum + Math.min(place.slots, place.online), 0)
-    return this.lateShare.mayBegin(now, { slots: countSlots(places), online, stay: this.options.getStay() })
+  private mayStartLate (now: number, candidates: readonly CandidateServer[]): boolean {
+    const online = candidates.reduce((sum, place) => sum + Math.min(place.slots, place.online), 0)
+    return this.lateLimiter.mayStart(now, { slots: countSlots(candidates), online, holdTime: this.options.getHoldTime() })
   }
 
   /** Only late requests wait, and none may begin yet. */
-  private giveSoon (): void {
-    if (this.givingSoon) return
-    this.givingSoon = true
-    this.options.clock.after(LATE_PERIOD, () => {
-      this.givingSoon = false
-      this.giveAll()
+  private scheduleGrant (): void {
+    if (this.isGrantScheduled) return
+    this.isGrantScheduled = true
+    this.options.clock.after(LATE_RECHECK_PERIOD, () => {
+      this.isGrantScheduled = false
+      this.grantAll()
     })
   }
 
-  private choose ({ key, avoided }: PlaceRequest, places: readonly ServerPlace[]): ServerPlace | undefined {
-    return choosePlace(places, { random: this.options.random, key, avoided })
+  private choose ({ key, avoided }: PlacementRequest, candidates: readonly CandidateServer[]): CandidateServer | undefined {
+    return chooseServer(candidates, { random: this.options.random, key, avoided })
   }
 
-  private give (): void {
-    const { clock, listPlaces, metrics } = this.options
+  private grantFree (): void {
+    const { clock, listCandidates, metrics } = this.options
     while (this.queue.length > 0) {
       const now = clock.now()
       const waiting = this.queue.reduce((first, other) => compareWaiting(other, first, now) < 0 ? other : first)
       const late = isLate(waiting, now)
-      const places = listPlaces()
-      if (late && now < waiting.beginBy - PRESSED && !this.mayBeginLate(now, places)) return this.giveSoon()
-      const place = this.choose(waiting, places)
+      const candidates = listCandidates()
+      if (late && now < waiting.beginBy - LATE_START_MARGIN && !this.mayStartLate(now, candidates)) return this.scheduleGrant()
+      const place = this.choose(waiting, candidates)
       if (place === undefined) return
-      if (late) this.lateShare.use(now)
+      if (late) this.lateLimiter.recordStart(now)
       this.remove(waiting)
       metrics.observe('placement_wait_ms', now - waiting.since)
       waiting.start(place.server)
@@ -176,6 +176,6 @@
   }
 }
 
-function countSlots (places: readonly ServerPlace[]): number {
-  return places.reduce((sum, { slots }) => sum + slots, 0)
+function countSlots (candidates: readonly CandidateServer[]): number {
+  return candidates.reduce((sum, { slots }) => sum + slots, 0)
 }
--- a/src/placement/slot-ask.ts
+++ b/src/placement/slot-request.ts
@@ -1,5 +1,5 @@
 /** A daemon's question for slots of a group, as it goes to the group's broker. Times in ms, relative to when it is sent. */
-export type SlotAsk =
+export type SlotRequest =
   | {
     readonly work: 'online'
     /** The asker's own number of the question. */
--- a/src/placement/slot-answer.ts
+++ b/src/placement/slot-response.ts
@@ -1,7 +1,7 @@
 import type { Refusal } from '../admission/refusal.js'
 
 /** What a broker says. `g` numbers the changes that it told one daemon; a daemon's rows say up to which they hold. */
-export type SlotAnswer =
+export type SlotResponse =
   /** `free`: slots of the group that are left. */
   | { readonly type: 'grant', readonly n: number, readonly g: number, readonly server: string, readonly free: number }
   /** The request waits in the broker's queue. */
--- a/test/fleet/build-news.test.ts
+++ b/test/fleet/build-change-batch.test.ts
@@ -1,6 +1,6 @@
 import test from 'ava'
 import fc from 'fast-check'
-import { buildNews } from '../../src/fleet/build-news.js'
+import { buildChangeBatch } from '../../src/fleet/build-change-batch.js'
 import { StoreMirror } from '../../src/store/store-mirror.js'
 import type { WatchBatch } from '../../src/store/watch-batch.js'
 import { ObjectTable } from '../../stand-ins/platform/object-table.js'
@@ -11,15 +11,15 @@
 /** A daemon that follows the table and tells others. */
 class Daemon {
   readonly mirror = new StoreMirror<number>()
-  private told = -1
+  private published = -1
 
   /** Reads what has changed and gives back the news of it. */
   follow (table: ObjectTable, isWhole: boolean): WatchBatch<number> {
     const since = isWhole ? -1 : this.mirror.cursor
     const names = this.mirror.apply({ revision: table.revision, ...table.changesSince(KIND, since), whole: since < 0 } as WatchBatch<number>)
-    const news = buildNews(this.mirror.copySince(KIND, this.told), names)
-    this.told = this.mirror.complete
-    return news
+    const batch = buildChangeBatch(this.mirror.copySince(KIND, this.published), names)
+    this.published = this.mirror.complete
+    return batch
   }
 }
 
@@ -44,8 +44,8 @@
     case 'delete': table.remove(KIND, step.name, table.read(KIND, step.name)?.version ?? 0); break
     case 'other kind': table.write('other', `${table.revision}`, 0, 0); break
     case 'follow': {
-      const news = daemons[step.watcher]!.follow(table, step.isWhole)
-      for (const [i, { mirror }] of daemons.entries()) if (step.reaches[i] === true && i !== step.watcher) mirror.merge(news)
+      const batch = daemons[step.watcher]!.follow(table, step.isWhole)
+      for (const [i, { mirror }] of daemons.entries()) if (step.reaches[i] === true && i !== step.watcher) mirror.merge(batch)
       break
     }
     case 'ask': {
--- a/test/fleet/heartbeat.test.ts
+++ b/test/fleet/heartbeat.test.ts
@@ -7,10 +7,10 @@
 import type { SessionEvent } from '../../src/peers/session-event.js'
 
 /** Control of a daemon among 380, bytes/s, and the 62 others of its domain and 10 watchers of other domains that it tells. */
-const BUDGET = 6_000
-const TOLD = 72
+const CONTROL_BANDWIDTH = 6_000
+const RECIPIENTS = 72
 
-const heartbeat: Heartbeat = { next: 500, kinds: new Map([['configuration', { told: 1_234_567, age: 3_999 }], ['instances', { told: 1_234_599, age: 12 }]]) }
+const heartbeat: Heartbeat = { next: 500, kinds: new Map([['configuration', { published: 1_234_567, age: 3_999 }], ['instances', { published: 1_234_599, age: 12 }]]) }
 
 function readSent (events: readonly SessionEvent[]): Buffer {
   return Buffer.concat(events.flatMap(event => event.type === 'send' ? [event.bytes] : []))
@@ -25,7 +25,7 @@
 
 test('a heartbeat says what it was told', t => {
   t.deepEqual(decodeHeartbeat(encodeHeartbeat(heartbeat)), heartbeat)
-  t.deepEqual(decodeHeartbeat({ type: 'heartbeat', n: 500, parts: [1, 2, 3] }).kinds, new Map([['configuration', { told: 1, age: 2 }]]))
+  t.deepEqual(decodeHeartbeat({ type: 'heartbeat', n: 500, parts: [1, 2, 3] }).kinds, new Map([['configuration', { published: 1, age: 2 }]]))
 })
 
 // Guards against heartbeats that take what a watcher may send for all control.
@@ -33,7 +33,7 @@
   const session = createSession()
   session.seal({ t: 1_000 })
   const bytes = session.seal({ t: 2_500, ping: true, m: encodeHeartbeat(heartbeat) }).length
-  const rate = bytes * TOLD * 1_000 / planHeartbeat(TOLD)
+  const rate = bytes * RECIPIENTS * 1_000 / planHeartbeat(RECIPIENTS)
   t.log({ bytes, rate })
-  t.true(rate < BUDGET / 2)
+  t.true(rate < CONTROL_BANDWIDTH / 2)
 })
--- a/test/fleet/lost-answers.test.ts
+++ b/test/fleet/lost-answers.test.ts
@@ -12,9 +12,9 @@
   await fleet.start()
   const parted = ['a', 'b', 'c'].flatMap(domain => fleet.listFollowers(domain))
   fleet.isLost = ({ from, to }) => parted.includes(from) !== parted.includes(to)
-  for (const name of parted) fleet.away.add(name)
+  for (const name of parted) fleet.unreachable.add(name)
   await fleet.clock.advance(10_000)
-  fleet.away.clear()
+  fleet.unreachable.clear()
   await fleet.clock.advance(500)
   await fleet.putConfiguration(2)
   await fleet.clock.advance(BOUND)
@@ -30,11 +30,11 @@
   const watchers = fleet.listWatchers('a')
   const follower = fleet.listFollowers('a')[0]!
   fleet.isLost = ({ from, to }) => watchers.includes(from) && to === follower
-  fleet.away.add(follower)
+  fleet.unreachable.add(follower)
   await fleet.clock.advance(3_000)
   fleet.isLost = () => false
   await fleet.clock.advance(1_000)
-  fleet.away.clear()
+  fleet.unreachable.clear()
   await fleet.clock.advance(20_000)
   const asked = fleet.sent.length
   await fleet.clock.advance(2_000)
--- a/test/fleet/lost-news.test.ts
+++ b/test/fleet/lost-changes.test.ts
@@ -101,7 +101,7 @@
   t.deepEqual([...new Set(fleet.callers)].sort(), watchers)
   // Two kinds, one watch of 4 s after the other.
   t.true(fleet.callers.length <= watchers.length * 2 * 20 / 4)
-  for (const { instance: { name } } of fleet.members) fleet.away.add(name)
+  for (const { instance: { name } } of fleet.members) fleet.unreachable.add(name)
   fleet.callers.length = 0
   await fleet.clock.advance(1_900)
   t.deepEqual([...new Set(fleet.callers)].sort(), watchers)
--- a/test/helpers/slot-fleet.ts
+++ b/test/helpers/slot-fleet.ts
@@ -16,9 +16,9 @@
 import { SlotHoldTimes } from '../../src/placement/slot-hold-times.js'
 import type { VirtualClock } from './virtual-clock.js'
 
-const WAY = 1
+const LINK_DELAY = 1
 
-interface Daemon { readonly queue: PlacementQueue, readonly asker: SlotClient, readonly broker: SlotBroker, readonly loads: ServerLoads, readonly observers: readonly ExchangeObserver[] }
+interface Daemon { readonly queue: PlacementQueue, readonly client: SlotClient, readonly broker: SlotBroker, readonly loads: ServerLoads, readonly observers: readonly ExchangeObserver[] }
 
 interface SlotFleetOptions { readonly daemons: number, readonly servers: number, readonly slots: number, readonly clock: VirtualClock }
 
@@ -49,13 +49,13 @@
       const daemon = this.createDaemon(name, i + 1)
       this.daemons.set(name, daemon)
       await daemon.loads.start()
-      await daemon.asker.start()
+      await daemon.client.start()
       await daemon.queue.start()
     }
   }
 
   /** The daemons have heard who died. */
-  detect (): void {
+  detectDead (): void {
     this.undetected.clear()
     for (const listener of this.listeners) listener()
   }
@@ -63,7 +63,7 @@
   /** The daemon's process ends with all that it had in flight, and starts anew; membership hears of it at once. */
   restart (name: string): void {
     this.runs.set(name, (this.runs.get(name) ?? 1) + 1)
-    this.detect()
+    this.detectDead()
   }
 
   kill (name: string): void {
@@ -100,21 +100,21 @@
     const loads = new ServerLoads(clock, list, servers)
     const map = new SlotMap(members, list)
     void map.start()
-    const stays = new SlotHoldTimes()
-    const broker = new SlotBroker(settings, loads, members, map, stays, metrics, clock, random)
+    const holdTimes = new SlotHoldTimes()
+    const broker = new SlotBroker(settings, loads, members, map, holdTimes, metrics, clock, random)
     void broker.start()
-    const links = { send: (to: string, message: PeerMessage) => this.post(name, to, message), dispatch: (message: PeerMessage, from: string) => this.dispatch(name, message, from) } as unknown as PeerLinks
-    const asker = new SlotClient(settings, clock, random, links, loads, map, broker, metrics, { write: () => {} })
-    const observers = [...loads.extensions, ...asker.extensions].map(({ value }) => value as ExchangeObserver).filter(({ onEnd }) => onEnd !== undefined)
-    return { queue: new PlacementQueue(loads, asker, stays, metrics, clock, random), asker, broker, loads, observers }
+    const links = { send: (to: string, message: PeerMessage) => this.deliver(name, to, message), dispatch: (message: PeerMessage, from: string) => this.dispatch(name, message, from) } as unknown as PeerLinks
+    const client = new SlotClient(settings, clock, random, links, loads, map, broker, metrics, { write: () => {} })
+    const observers = [...loads.extensions, ...client.extensions].map(({ value }) => value as ExchangeObserver).filter(({ onEnd }) => onEnd !== undefined)
+    return { queue: new PlacementQueue(loads, client, holdTimes, metrics, clock, random), client, broker, loads, observers }
   }
 
-  private post (from: string, to: string, message: PeerMessage): void {
+  private deliver (from: string, to: string, message: PeerMessage): void {
     this.messages++
-    this.options.clock.after(WAY, () => { if (!this.dead.has(from) && !this.dead.has(to)) this.dispatch(to, message, from) })
+    this.options.clock.after(LINK_DELAY, () => { if (!this.dead.has(from) && !this.dead.has(to)) this.dispatch(to, message, from) })
   }
 
   private dispatch (to: string, message: PeerMessage, from: string): void {
-    for (const { value } of this.daemons.get(to)!.asker.extensions) if ((value as PeerHandler).type === message.type) (value as PeerHandler).handle(message, from)
+    for (const { value } of this.daemons.get(to)!.client.extensions) if ((value as PeerHandler).type === message.type) (value as PeerHandler).handle(message, from)
   }
 }
--- a/test/helpers/watch-fleet.ts
+++ b/test/helpers/watch-fleet.ts
@@ -42,7 +42,7 @@
   /** What arrives of a message. */
   change: (sent: Sent) => PeerMessage = ({ message }) => message
   /** Daemons that the store turns away. */
-  readonly away = new Set<string>()
+  readonly unreachable = new Set<string>()
   /** How much later than others' a daemon's answers of the store come, ms. */
   readonly lags = new Map<string, number>()
   readonly members: readonly Member[]
@@ -123,7 +123,7 @@
   private async watch (daemon: string, kind: string, revision: number, wait: number): Promise<Result<WatchBatch<Configuration>, StoreError>> {
     this.callers.push(daemon)
     for (const end = this.clock.now() + wait; ;) {
-      if (this.away.has(daemon)) return Err({ type: 'unavailable', reason: 'turned away' })
+      if (this.unreachable.has(daemon)) return Err({ type: 'unavailable', reason: 'turned away' })
       const batch = await this.store.watch<Configuration>(kind, revision)
       const changes = batch.ok ? batch.val.changed.length + batch.val.deleted.length : 0
       if (batch.err || revision < 0 || changes > 0 || this.clock.now() >= end) {
--- a/test/placement/usual-delay.test.ts
+++ b/test/placement/adaptive-timeout.test.ts
@@ -1,5 +1,5 @@
 import test from 'ava'
-import { UsualDelay } from '../../src/placement/usual-delay.js'
+import { AdaptiveTimeout } from '../../src/placement/adaptive-timeout.js'
 
 const cases: ReadonlyArray<readonly [string, readonly number[], number]> = [
   ['nothing is known', [], 100],
@@ -9,10 +9,10 @@
   ['one late answer among many', [...Array.from({ length: 100 }, () => 8), 90], 100]
 ]
 
-for (const [name, delays, silentAfter] of cases) {
+for (const [name, delays, timeout] of cases) {
   test(`a peer counts as silent: ${name}`, t => {
-    const usual = new UsualDelay({ least: 100, most: 500 })
+    const usual = new AdaptiveTimeout({ least: 100, most: 500 })
     for (const delay of delays) usual.record(delay)
-    t.is(Math.round(usual.silentAfter), silentAfter)
+    t.is(Math.round(usual.timeout), timeout)
   })
 }
--- a/test/placement/choose-place.test.ts
+++ b/test/placement/choose-server.test.ts
@@ -1,13 +1,13 @@
 import test from 'ava'
 import { Random } from '../../src/kernel/random.js'
-import { choosePlace } from '../../src/placement/choose-place.js'
-import type { ServerPlace } from '../../src/placement/server-place.js'
+import { chooseServer } from '../../src/placement/choose-server.js'
+import type { CandidateServer } from '../../src/placement/candidate-server.js'
 
-function createPlace (server: string, online: number, batch = 0, ownBatch = 0): ServerPlace {
+function createPlace (server: string, online: number, batch = 0, ownBatch = 0): CandidateServer {
   return { server, failureDomain: 'a', slots: 8, online, batch, ownBatch }
 }
 
-interface Case { readonly name: string, readonly places: readonly ServerPlace[], readonly avoided?: readonly string[], readonly chosen: string | undefined }
+interface Case { readonly name: string, readonly places: readonly CandidateServer[], readonly avoided?: readonly string[], readonly chosen: string | undefined }
 
 const cases: readonly Case[] = [
   { name: 'the one with most free slots', places: [createPlace('s1', 5), createPlace('s2', 2), createPlace('s3', 4)], chosen: 's2' },
@@ -21,21 +21,21 @@
 ]
 
 for (const { name, places, avoided, chosen } of cases) {
-  test(name, t => { t.is(choosePlace(places, { random: new Random(1), avoided })?.server, chosen) })
+  test(name, t => { t.is(chooseServer(places, { random: new Random(1), avoided })?.server, chosen) })
 }
 
 test('requests with one key go to one server while it has room, and elsewhere when it fills', t => {
   const places = ['s1', 's2', 's3', 's4'].map(server => createPlace(server, 0))
-  const first = choosePlace(places, { random: new Random(1), key: 'prompt' })!.server
-  for (let seed = 2; seed < 20; seed++) t.is(choosePlace(places, { random: new Random(seed), key: 'prompt' })!.server, first)
+  const first = chooseServer(places, { random: new Random(1), key: 'prompt' })!.server
+  for (let seed = 2; seed < 20; seed++) t.is(chooseServer(places, { random: new Random(seed), key: 'prompt' })!.server, first)
   const filled = places.map(place => place.server === first ? { ...place, online: 6 } : place)
-  t.not(choosePlace(filled, { random: new Random(1), key: 'prompt' })!.server, first)
+  t.not(chooseServer(filled, { random: new Random(1), key: 'prompt' })!.server, first)
 })
 
 // Six daemons see the same counts, some ms old, and each gets a request at once. Were the choice the same at each, all six
 // would go to one server and wait there, while others have free slots.
 test('daemons with the same counts choose different servers', t => {
   const places = ['s1', 's2', 's3', 's4', 's5', 's6', 's7', 's8'].map(server => createPlace(server, 3))
-  const chosen = new Set(Array.from({ length: 24 }, (_, seed) => choosePlace(places, { random: new Random(seed) })!.server))
+  const chosen = new Set(Array.from({ length: 24 }, (_, seed) => chooseServer(places, { random: new Random(seed) })!.server))
   t.true(chosen.size >= 6)
 })
--- a/test/placement/slot-rows.test.ts
+++ b/test/placement/load-reporter.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava'
 import type { LoadCounts } from '../../src/placement/load-counts.js'
-import type { LoadRow } from '../../src/placement/load-row.js'
-import { SlotRows } from '../../src/placement/slot-rows.js'
+import type { LoadReport } from '../../src/placement/load-report.js'
+import { LoadReporter } from '../../src/placement/load-reporter.js'
 import { VirtualClock } from '../helpers/virtual-clock.js'
 
 // Guards against slots that count as taken for 3 s, in which requests are refused though servers are free: the one row that told a
@@ -9,13 +9,13 @@
 test('a row that says that nothing is left is told twice, and no more', async t => {
   const clock = new VirtualClock()
   const ownCounts = new Map<string, LoadCounts>([['s1', { online: 1, batch: 0 }]])
-  const told: LoadRow[] = []
-  const rows = new SlotRows({ clock, loads: { ownCounts }, map: { findBrokerOf: () => 'broker' }, send: (_broker, row) => told.push(row) })
+  const told: LoadReport[] = []
+  const rows = new LoadReporter({ clock, loads: { ownCounts }, map: { findBrokerForServer: () => 'broker' }, send: (_broker, row) => told.push(row) })
   rows.start()
   await clock.advance(1_500)
   ownCounts.delete('s1')
   told.length = 0
-  rows.tellSoon()
+  rows.reportSoon()
   await clock.advance(100)
   t.deepEqual(told, [[]])
   await clock.advance(10_000)
--- a/test/placement/load-table.test.ts
+++ b/test/placement/load-table.test.ts
@@ -1,6 +1,6 @@
 import test from 'ava'
 import fc from 'fast-check'
-import type { LoadRow } from '../../src/placement/load-row.js'
+import type { LoadReport } from '../../src/placement/load-report.js'
 import { LoadTable } from '../../src/placement/load-table.js'
 
 const row = fc.uniqueArray(fc.tuple(fc.constantFrom('s1', 's2', 's3'), fc.nat(5), fc.nat(5)), { selector: ([server]) => server })
@@ -8,7 +8,7 @@
 test('the sums are those of the rows that are held, whatever came and went', t => {
   fc.assert(fc.property(fc.array(fc.record({ daemon: fc.constantFrom('a', 'b', 'c'), row, at: fc.nat(100), drop: fc.option(fc.nat(100)) })), steps => {
     const table = new LoadTable()
-    const held = new Map<string, { row: LoadRow, at: number }>()
+    const held = new Map<string, { row: LoadReport, at: number }>()
     for (const { daemon, row, at, drop } of steps) {
       table.put(daemon, row, at)
       held.set(daemon, { row, at })
@@ -28,6 +28,6 @@
 test('who runs batch at a server', t => {
   const table = new LoadTable()
   for (const [daemon, batch] of [['a', 2], ['b', 3], ['d', 0]] as const) table.put(daemon, [['s', 1, batch], ['other', 0, 9]], 0)
-  t.deepEqual(table.listBatch('s'), [['a', 2], ['b', 3]])
-  t.deepEqual(table.listBatch('none'), [])
+  t.deepEqual(table.listBatchCounts('s'), [['a', 2], ['b', 3]])
+  t.deepEqual(table.listBatchCounts('none'), [])
 })
--- a/test/placement/plan-wait.test.ts
+++ b/test/placement/plan-wait.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava'
 import { planWait } from '../../src/placement/plan-wait.js'
 
-const base = { ahead: 0, interval: 50, stay: 800, waited: 0, target: 300, left: 5_000, beginWithin: Infinity, returning: false }
+const base = { ahead: 0, interval: 50, holdTime: 800, waited: 0, target: 300, left: 5_000, beginWithin: Infinity, returning: false }
 
 const cases: ReadonlyArray<readonly [string, Partial<typeof base>, 'wait' | 'refuse']> = [
   ['a slot is expected in time', { ahead: 2 }, 'wait'],
--- a/test/placement/slot-broker.test.ts
+++ b/test/placement/slot-broker.test.ts
@@ -8,7 +8,7 @@
 interface Outcome { readonly waited: number, readonly server?: string, readonly cause?: string }
 
 /** A request of a daemon that keeps its slot for `stay` ms. */
-function ask (fleet: SlotFleet, clock: VirtualClock, daemon: string, stay: number, outcomes: Outcome[], signal = new AbortController().signal): void {
+function ask (fleet: SlotFleet, clock: VirtualClock, daemon: string, holdTime: number, outcomes: Outcome[], signal = new AbortController().signal): void {
   const arrived = clock.now()
   fleet.daemons.get(daemon)!.queue.request({
     pool: 'p',
@@ -23,7 +23,7 @@
     signal,
     start: server => {
       const end = fleet.begin(daemon, server, 'online')
-      clock.after(stay, end)
+      clock.after(holdTime, end)
       outcomes.push({ waited: clock.now() - arrived, server })
     },
     refuse: ({ cause }) => outcomes.push({ waited: clock.now() - arrived, cause })
@@ -61,8 +61,8 @@
   await fleet.start()
   const ends: Array<{ readonly daemon: string, readonly server: string, readonly end: () => void }> = []
   let revoked = 0
-  for (const [daemon, { asker }] of fleet.daemons) {
-    asker.subscribe({
+  for (const [daemon, { client }] of fleet.daemons) {
+    client.subscribe({
       onGrant: (_pool, server) => ends.push({ daemon, server, end: fleet.begin(daemon, server, 'batch') }),
       onRevoke: server => {
         revoked++
@@ -72,7 +72,7 @@
     })
   }
   for (let round = 0; round < 10; round++) {
-    for (const { asker } of fleet.daemons.values()) asker.askBatch('p', { count: 4, due: clock.now() + 9_000, remaining: 1_000 })
+    for (const { client } of fleet.daemons.values()) client.askBatch('p', { count: 4, due: clock.now() + 9_000, remaining: 1_000 })
     await clock.advance(20)
   }
   t.is(ends.length, 6 * 6)
@@ -106,7 +106,7 @@
   t.is(soon.filter(({ server, waited }) => server !== undefined && waited <= 2).length, 5)
   t.true([...fleet.running.values()].every(({ most }) => most <= 7))
   await clock.advance(110)
-  fleet.detect()
+  fleet.detectDead()
   await clock.advance(1_200)
   for (const running of fleet.running.values()) running.most = 0
   const after: Outcome[] = []
@@ -130,7 +130,7 @@
   const over: number[] = []
   for (let ms = 0; ms < 3_000; ms += 10) {
     if (ms === 500) fleet.kill(broker)
-    if (ms === 3_000) fleet.detect()
+    if (ms === 3_000) fleet.detectDead()
     if (random.below(100) < 72) ask(fleet, clock, others[random.below(5)]!, 600 + random.below(400), outcomes)
     await clock.advance(10)
     if (ms > 800) over.push([...fleet.running.values()].reduce((sum, { online }) => sum + Math.max(0, online - 8), 0))
@@ -170,10 +170,10 @@
   const outcomes: Outcome[] = []
   for (let n = 0; n < 22; n++) ask(fleet, clock, `d${n % 3}`, 150, outcomes, gone.signal)
   await clock.advance(10)
-  t.is(broker.waits, 2)
+  t.is(broker.waitingCount, 2)
   gone.abort()
   await clock.advance(10)
-  t.is(broker.waits, 0)
+  t.is(broker.waitingCount, 0)
 })
 
 // Every slot is taken, and two daemons want one for batch: the first has much time, the other's item is due soon. Slots come free, and the
@@ -183,17 +183,17 @@
   const fleet = new SlotFleet({ daemons: 4, servers: 1, slots: 4, clock })
   await fleet.start()
   const granted: string[] = []
-  for (const [daemon, { asker }] of fleet.daemons) asker.subscribe({ onGrant: () => granted.push(daemon), onRevoke: () => {} })
+  for (const [daemon, { client }] of fleet.daemons) client.subscribe({ onGrant: () => granted.push(daemon), onRevoke: () => {} })
   const ends = Array.from({ length: 4 }, () => fleet.begin('d0', 's0', 'online'))
   await clock.advance(1_100)
-  fleet.daemons.get('d1')!.asker.askBatch('p', { count: 4, due: clock.now() + 15_000, remaining: 1_000 })
+  fleet.daemons.get('d1')!.client.askBatch('p', { count: 4, due: clock.now() + 15_000, remaining: 1_000 })
   await clock.advance(10)
-  fleet.daemons.get('d2')!.asker.askBatch('p', { count: 4, due: clock.now() + 3_000, remaining: 1_000 })
+  fleet.daemons.get('d2')!.client.askBatch('p', { count: 4, due: clock.now() + 3_000, remaining: 1_000 })
   await clock.advance(10)
   t.deepEqual(granted, [])
   for (const end of ends.slice(0, 2)) end()
   await clock.advance(20)
-  fleet.daemons.get('d1')!.asker.askBatch('p', { count: 4, due: clock.now() + 15_000, remaining: 1_000 })
+  fleet.daemons.get('d1')!.client.askBatch('p', { count: 4, due: clock.now() + 15_000, remaining: 1_000 })
   await clock.advance(10)
   t.is(granted[0], 'd2')
   t.true(granted.every(daemon => daemon === 'd2'))
@@ -207,23 +207,23 @@
   const fleet = new SlotFleet({ daemons: 5, servers: 4, slots: 8, clock })
   await fleet.start()
   const broker = slotGroups.findBroker('p', 0, [...fleet.daemons.keys()])!
-  const [gone, other, asker] = [...fleet.daemons.keys()].filter(name => name !== broker) as [string, string, string]
+  const [gone, other, requester] = [...fleet.daemons.keys()].filter(name => name !== broker) as [string, string, string]
   const ends = new Map<string, Array<() => void>>()
   for (const daemon of [gone, other]) {
     for (let n = 0; n < 16; n++) {
       const server = `s${n % 4}`
       ends.set(`${daemon} ${server}`, [...ends.get(`${daemon} ${server}`) ?? [], fleet.begin(daemon, server, 'batch')])
     }
-    fleet.daemons.get(daemon)!.asker.subscribe({ onGrant: () => {}, onRevoke: server => ends.get(`${daemon} ${server}`)!.pop()?.() })
+    fleet.daemons.get(daemon)!.client.subscribe({ onGrant: () => {}, onRevoke: server => ends.get(`${daemon} ${server}`)!.pop()?.() })
   }
   await clock.advance(1_100)
   fleet.kill(gone)
   const first: Outcome[] = []
-  for (let n = 0; n < 4; n++) ask(fleet, clock, asker, 600, first)
+  for (let n = 0; n < 4; n++) ask(fleet, clock, requester, 600, first)
   await clock.advance(120)
   for (const running of fleet.running.values()) running.most = 0
   const outcomes: Outcome[] = []
-  for (let n = 0; n < 6; n++) ask(fleet, clock, asker, 600, outcomes)
+  for (let n = 0; n < 6; n++) ask(fleet, clock, requester, 600, outcomes)
   await clock.advance(50)
   t.is(outcomes.filter(({ server }) => server !== undefined).length, 6)
   t.true([...fleet.running.values()].every(({ most }) => most <= 9), JSON.stringify([...fleet.running]))
--- a/test/placement/slot-ledger.test.ts
+++ b/test/placement/slot-ledger.test.ts
@@ -12,7 +12,7 @@
   t.is(ledger.readAge(1_700), 300)
   ledger.drop('b')
   t.is(ledger.readAge(1_700), 100)
-  ledger.dropOld(10_000)
+  ledger.dropExpired(10_000)
   t.is(ledger.readAge(10_000), 0)
 })
 
--- a/test/placement/slot-queue.test.ts
+++ b/test/placement/slot-queue.test.ts
@@ -6,34 +6,34 @@
 import { VirtualClock } from '../helpers/virtual-clock.js'
 
 const SLOTS = 8
-const STAY = 800
+const HOLD_TIME = 800
 const TARGET = 300
 /** What a first event takes once its request is sent, ms. */
 const FIRST_EVENT = 100
 /** After this without a first event a caller leaves, ms. */
-const SILENCE = 2_000
+const CALLER_TIMEOUT = 2_000
 
-interface Seen { readonly late: boolean, readonly begunAfter?: number, readonly refused?: boolean }
+interface Outcome { readonly late: boolean, readonly begunAfter?: number, readonly refused?: boolean }
 
 interface Crowd {
   readonly servers: number
   /** Callers that come at once, having met nobody 700 ms ago. */
   readonly returning: number
   /** Whether the time that those have left tells so. */
-  readonly known: boolean
+  readonly isRetryKnown: boolean
   /** New requests a second: in the wave, for `waveFor` ms, and behind it. */
-  readonly wave: number
+  readonly waveRate: number
   readonly waveFor: number
-  readonly trough: number
+  readonly troughRate: number
 }
 
-async function play ({ servers, returning, known, wave, waveFor, trough }: Crowd): Promise<readonly Seen[]> {
+async function play ({ servers, returning, isRetryKnown, waveRate, waveFor, troughRate }: Crowd): Promise<readonly Outcome[]> {
   const clock = new VirtualClock()
   const random = new Random(4)
   const running = new Map<string, number>(Array.from({ length: servers }, (_, i) => [`s${i}`, 0]))
-  const listPlaces = () => [...running].map(([server, online]) => ({ server, failureDomain: 'a', slots: SLOTS, online, batch: 0, ownBatch: 0 }))
-  const queue = new SlotQueue({ listPlaces, getStay: () => STAY, clock, random, metrics: new Metrics() })
-  const seen: Seen[] = []
+  const listCandidates = () => [...running].map(([server, online]) => ({ server, failureDomain: 'a', slots: SLOTS, online, batch: 0, ownBatch: 0 }))
+  const queue = new SlotQueue({ listCandidates, getHoldTime: () => HOLD_TIME, clock, random, metrics: new Metrics() })
+  const seen: Outcome[] = []
   const ask = (late: boolean): void => {
     const arrived = clock.now()
     const since = late ? 700 : 0
@@ -41,9 +41,9 @@
       pool: 'p',
       avoided: [],
       arrived,
-      asked: arrived - (known ? since : 0),
+      asked: arrived - (isRetryKnown ? since : 0),
       deadline: arrived + 5_000 - since,
-      beginBy: arrived + SILENCE - FIRST_EVENT,
+      beginBy: arrived + CALLER_TIMEOUT - FIRST_EVENT,
       target: TARGET,
       priority: 0,
       returning: late,
@@ -51,9 +51,9 @@
       start: server => {
         seen.push({ late, begunAfter: clock.now() - arrived })
         running.set(server, running.get(server)! + 1)
-        clock.after(STAY - 200 + random.below(400), () => {
+        clock.after(HOLD_TIME - 200 + random.below(400), () => {
           running.set(server, running.get(server)! - 1)
-          queue.giveAll()
+          queue.grantAll()
         })
       },
       refuse: () => seen.push({ late, refused: true })
@@ -62,14 +62,14 @@
   await clock.advance(3_000)
   for (let ms = 0; ms < 5_000; ms += 10) {
     if (ms < 200) for (let n = 0; n < returning / 20; n++) ask(true)
-    if (random.below(1_000) < (ms < waveFor ? wave : trough) * 10) ask(false)
+    if (random.below(1_000) < (ms < waveFor ? waveRate : troughRate) * 10) ask(false)
     await clock.advance(10)
   }
   await clock.advance(5_000)
   return seen
 }
 
-function countInTime (seen: readonly Seen[]): number {
+function countInTime (seen: readonly Outcome[]): number {
   return seen.filter(({ late, begunAfter }) => !late && begunAfter !== undefined && begunAfter <= TARGET - FIRST_EVENT).length
 }
 
@@ -77,14 +77,14 @@
 // ones that take nine in ten of all slots for 1.4 s more. Given every slot, the late ones made the new ones late too. Now those
 // are served in time, and each late one before its time ends.
 test('a crowd behind an end of all daemons: new requests are in time, and all late ones are served', async t => {
-  const crowd: Crowd = { servers: 8, returning: 60, known: true, wave: 72, waveFor: 1_400, trough: 15 }
-  const [before, after] = [await play({ ...crowd, known: false }), await play(crowd)]
+  const crowd: Crowd = { servers: 8, returning: 60, isRetryKnown: true, waveRate: 72, waveFor: 1_400, troughRate: 15 }
+  const [before, after] = [await play({ ...crowd, isRetryKnown: false }), await play(crowd)]
   const fresh = after.filter(({ late }) => !late).length
   t.log({ fresh, before: countInTime(before), after: countInTime(after), refusedBefore: before.filter(({ refused }) => refused).length, refusedAfter: after.filter(({ refused }) => refused).length })
   t.true(countInTime(after) >= 0.9 * fresh)
   t.true(countInTime(before) < countInTime(after))
   t.is(after.filter(({ late, refused }) => late && refused).length, 0)
-  t.true(after.every(({ begunAfter = 0 }) => begunAfter <= SILENCE - FIRST_EVENT))
+  t.true(after.every(({ begunAfter = 0 }) => begunAfter <= CALLER_TIMEOUT - FIRST_EVENT))
 })
 
 /** What became of the requests of an overload in which each refused caller comes again once, when it is told to. */
@@ -93,8 +93,8 @@
   const clock = new VirtualClock()
   const random = new Random(9)
   const running = new Map<string, number>(Array.from({ length: 8 }, (_, i) => [`s${i}`, 0]))
-  const listPlaces = () => [...running].map(([server, online]) => ({ server, failureDomain: 'a', slots: SLOTS, online, batch: 0, ownBatch: 0 }))
-  const queue = new SlotQueue({ listPlaces, getStay: () => STAY, clock, random, metrics: new Metrics() })
+  const listCandidates = () => [...running].map(([server, online]) => ({ server, failureDomain: 'a', slots: SLOTS, online, batch: 0, ownBatch: 0 }))
+  const queue = new SlotQueue({ listCandidates, getHoldTime: () => HOLD_TIME, clock, random, metrics: new Metrics() })
   const counts = { inTime: 0, late: 0, lost: 0, heldLong: 0 }
   const ask = (first: number, returning: boolean): void => {
     const arrived = clock.now()
@@ -107,7 +107,7 @@
       arrived,
       asked: first,
       deadline,
-      beginBy: arrived + SILENCE - FIRST_EVENT,
+      beginBy: arrived + CALLER_TIMEOUT - FIRST_EVENT,
       target: TARGET,
       priority: 0,
       returning,
@@ -117,9 +117,9 @@
         if (clock.now() - arrived <= TARGET - FIRST_EVENT) counts.inTime++
         else counts.late++
         running.set(server, running.get(server)! + 1)
-        clock.after(STAY - 200 + random.below(400), () => {
+        clock.after(HOLD_TIME - 200 + random.below(400), () => {
           running.set(server, running.get(server)! - 1)
-          queue.giveAll()
+          queue.grantAll()
         })
       },
       refuse: ({ retryAfter }) => {
@@ -130,7 +130,7 @@
       }
     })
   }
-  const capacity = 8 * SLOTS * 1_000 / STAY
+  const capacity = 8 * SLOTS * 1_000 / HOLD_TIME
   for (let ms = 0; ms < LASTS; ms += 5) {
     if (random.below(100_000) < times * capacity * 500) ask(clock.now(), false)
     await clock.advance(5)
@@ -155,8 +155,8 @@
 test('where slots stay free late requests begin at once', async t => {
   const clock = new VirtualClock()
   const running = new Map<string, number>([['s0', 0], ['s1', 0]])
-  const listPlaces = () => [...running].map(([server, online]) => ({ server, failureDomain: 'a', slots: SLOTS, online, batch: 0, ownBatch: 0 }))
-  const queue = new SlotQueue({ listPlaces, getStay: () => 3_000, clock, random: new Random(2), metrics: new Metrics() })
+  const listCandidates = () => [...running].map(([server, online]) => ({ server, failureDomain: 'a', slots: SLOTS, online, batch: 0, ownBatch: 0 }))
+  const queue = new SlotQueue({ listCandidates, getHoldTime: () => 3_000, clock, random: new Random(2), metrics: new Metrics() })
   const waits: number[] = []
   for (let ms = 0; ms < 20_000; ms += 200) {
     const arrived = clock.now() - (ms % 1_000 === 0 ? 0 : 400)
@@ -167,7 +167,7 @@
       arrived,
       asked: arrived,
       deadline: arrived + 5_000,
-      beginBy: arrived + SILENCE - FIRST_EVENT,
+      beginBy: arrived + CALLER_TIMEOUT - FIRST_EVENT,
       target: TARGET,
       priority: 0,
       returning: false,
@@ -177,7 +177,7 @@
         running.set(server, running.get(server)! + 1)
         clock.after(2_000, () => {
           running.set(server, running.get(server)! - 1)
-          queue.giveAll()
+          queue.grantAll()
         })
       },
       refuse: () => waits.push(Infinity)
