--- a/src/fleet/answer-evacuation.ts
+++ b/src/fleet/answer-evacuation.ts
@@ -5,7 +5,7 @@
 import type { ObjectStore } from '../store/object-store.js'
 
 const KIND = 'evacuations'
-/** One watch, ms: orders to empty an instance are rare and give it seconds. */
+/** Duration of one watch, ms. */
 const WAIT = 25_000
 const RETRY = 500
 
@@ -19,15 +19,15 @@
 }
 
 /**
- * Watches for the order to empty this instance and answers that it is empty: what must last lies in the store, and
- * nothing on the disk would be missed. Ends when `signal` does.
+ * Watches for the order to evacuate this instance and reports it evacuated at once: all durable data is in the store, and nothing on
+ * the local disk needs to be kept. Ends when `signal` is aborted.
  */
 export async function answerEvacuation ({ store, clock, random, log, instance }: EvacuationOptions, signal: AbortSignal): Promise<void> {
   for (let cursor = -1; !signal.aborted;) {
     const batch = await store.watch(KIND, cursor, WAIT)
     const isAsked = batch.ok && batch.val.changed.some(({ name }) => name === instance)
     const isAnswered = !isAsked || (await store.putStatus(KIND, instance, { state: 'done' })).ok
-    if (isAsked) log.write('info', 'fleet', 'was asked to be emptied', { answered: isAnswered })
+    if (isAsked) log.write('info', 'fleet', 'evacuation requested', { answered: isAnswered })
     if (batch.ok && isAnswered) cursor = batch.val.revision
     else await pauseFor(clock, random.spread(RETRY, 0.5))
   }
--- a/src/fleet/build-change-batch.ts
+++ b/src/fleet/build-change-batch.ts
@@ -1,6 +1,9 @@
 import type { WatchBatch } from '../store/watch-batch.js'
 
-/** A copy of what changed, with only the objects of `names` in full: those that are told for the first time. */
+/**
+ * Returns a copy of a batch that includes in full only the objects of `names`; names without an object count as deleted. If the batch
+ * has a starting revision, its other objects are listed by version in `known`.
+ */
 export function buildChangeBatch<T> ({ revision, changed, deleted, after }: WatchBatch<T>, names: readonly string[]): WatchBatch<T> {
   const included = changed.filter(({ name }) => names.includes(name))
   const present = new Set(changed.map(({ name }) => name))
--- a/src/fleet/change-notice.ts
+++ b/src/fleet/change-notice.ts
@@ -1,9 +1,9 @@
-/** Which objects of a kind changed. */
+/** Changed objects of a kind. */
 export interface ChangeNotice {
   readonly kind: string
   readonly names: readonly string[]
-  /** Whether those that went are gone for certain; left out where no answer of the store says this. */
+  /** Whether deleted objects are certainly gone; undefined if this isn't based on an answer of the store. */
   readonly sure?: boolean
-  /** How long those that went are to be used on, ms, where that isn't certain. */
+  /** How long to keep using deleted objects, ms, if that isn't certain. */
   readonly hold?: number
 }
--- a/src/fleet/change-publisher.ts
+++ b/src/fleet/change-publisher.ts
@@ -6,37 +6,37 @@
 import type { StoreMirror } from '../store/store-mirror.js'
 import type { WatchBatch } from '../store/watch-batch.js'
 import { buildChangeBatch } from './build-change-batch.js'
+import type { ChangeNotice } from './change-notice.js'
 import { encodeHeartbeat } from './encode-heartbeat.js'
 import { listRecipients } from './list-recipients.js'
-import type { ChangeNotice } from './change-notice.js'
 import { planHeartbeat } from './plan-heartbeat.js'
 
 interface ChangePublisherOptions {
   readonly settings: Pick<Settings, 'instance' | 'failureDomain'>
   readonly members: Pick<Members, 'all'>
   readonly links: Pick<PeerLinks, 'send'>
-  /** What this daemon knows, by kind. */
+  /** This daemon's copies of the stored objects, by kind. */
   readonly mirrors: ReadonlyMap<string, StoreMirror<any>>
 }
 
 /**
- * Tells other daemons what changed. A message may be lost, so that each says from which revision on it tells everything, and
- * heartbeats say up to which: a daemon that has lost one finds the gap and asks for what it lacks.
+ * Publishes changes of stored objects to other daemons. Messages may be lost: each one states the revision after which it covers every
+ * change, and heartbeats state the last published revision, so that a daemon detects a gap and requests the missing changes.
  */
 export class ChangePublisher {
-  /** By kind, the revision up to which everything is told. */
+  /** The revision up to which every change is published, by kind. */
   private readonly published = new Map<string, number>()
 
   constructor (private readonly options: ChangePublisherOptions) {}
 
-  /** Tells what the store said. In a larger fleet a failure domain's watchers tell their own domain, and the watchers of the others. */
+  /** Publishes changes that the store returned. */
   publish (notice: ChangeNotice): void {
     this.send(listRecipients(this.options.members.all(), this.options.settings.failureDomain), notice)
   }
 
   /**
-   * The store may turn away all watchers of a failure domain at once, whose daemons, though it serves them, rely on those: they
-   * went by an old configuration for 6 s. What a watcher hears from another domain it tells its own.
+   * Relays changes that another failure domain published to the daemons of this domain. If the store rejects all watchers of a domain
+   * at once, its daemons still rely on these and would otherwise use outdated state until they notice.
    */
   relay (notice: ChangeNotice, received: WatchBatch<unknown>, from: string): void {
     const domainMembers = this.listDomainMembers()
@@ -45,7 +45,7 @@
     else this.sendAll(domainMembers, { type: 'fleet news', kind: notice.kind, batch: { ...received, after: undefined }, sure: notice.sure, hold: notice.hold })
   }
 
-  /** Sends a heartbeat, with the age of the store's last answer by kind; gives back when the next one is due, ms. */
+  /** Sends a heartbeat with the age of the store's last answer by kind, ms. Returns the time until the next one, ms. */
   sendHeartbeat (ages: ReadonlyMap<string, number>): number {
     const names = listRecipients(this.options.members.all(), this.options.settings.failureDomain)
     const next = planHeartbeat(names.length)
@@ -54,7 +54,7 @@
     return next
   }
 
-  /** Tells a daemon what it lacks; all there is where it doesn't say what it has. */
+  /** Sends a daemon the changes since the revisions that it has; everything if it doesn't state them. */
   sendMissing ({ have }: PeerMessage, from: string): void {
     for (const [kind, mirror] of this.options.mirrors) {
       const revision = Number((have as Readonly<Record<string, unknown>> | undefined)?.[kind] ?? -1)
@@ -62,13 +62,13 @@
     }
   }
 
-  /** Asks a daemon for what this one lacks. */
+  /** Requests from a daemon the changes that this one is missing. */
   requestMissing (name: string): void {
     const have = Object.fromEntries([...this.options.mirrors].map(([kind, { complete }]) => [kind, complete]))
     this.options.links.send(name, { type: 'fleet ask', have })
   }
 
-  /** Tells all that changed since what was told before; what isn't new here is only named, as others have told it. */
+  /** Sends every change since the last published revision, in full only for the objects of `names`; others have published the rest. */
   private send (recipients: readonly string[], { kind, names, sure, hold }: ChangeNotice): void {
     const mirror = this.getMirror(kind)
     const copy = mirror.copySince(kind, this.published.get(kind) ?? -1)
--- a/src/fleet/daemon-directory.ts
+++ b/src/fleet/daemon-directory.ts
@@ -16,15 +16,15 @@
 const RETRY = 500
 
 /**
- * Where the other daemons are, from the store: each writes its own address once, and reads those of the others once it
- * has. The seeds of the settings stand in until then, and membership tells the rest. Addresses of instances that were
- * replaced stay; a daemon that is asked there and doesn't answer is soon taken for dead.
+ * Addresses of the other daemons, from the store. Each daemon registers its own address once and then reads the others', with the
+ * seeds of the settings as the initial list; membership finds later ones. Addresses of replaced instances remain in the list, and
+ * membership soon declares daemons that don't respond there dead.
  */
 @scoped(Lifecycle.ContainerScoped)
 export class DaemonDirectory implements Part {
   all: readonly Instance[]
   private readonly listeners = new Set<() => void>()
-  private ended = false
+  private stopped = false
 
   constructor (
     @inject(tokens.store) private readonly store: ObjectStore,
@@ -41,7 +41,7 @@
   }
 
   async stop (): Promise<void> {
-    this.ended = true
+    this.stopped = true
   }
 
   subscribe (listener: () => void): void {
@@ -63,13 +63,13 @@
       for (const { name, value } of page.val) if (typeof value?.host === 'string') found.set(name, value)
     }
     this.all = [...found.values()]
-    this.log.write('info', 'fleet', 'read where the daemons are', { daemons: this.all.length })
+    this.log.write('info', 'fleet', 'read the addresses of daemons', { daemons: this.all.length })
     for (const listener of this.listeners) listener()
     return true
   }
 
   private async repeat (attempt: () => Promise<boolean>): Promise<void> {
-    while (!this.ended && !await attempt()) await pauseFor(this.clock, this.random.spread(RETRY, 0.5))
+    while (!this.stopped && !await attempt()) await pauseFor(this.clock, this.random.spread(RETRY, 0.5))
   }
 
   private readSelf (): Instance {
--- a/src/fleet/decode-heartbeat.ts
+++ b/src/fleet/decode-heartbeat.ts
@@ -2,7 +2,7 @@
 import type { Heartbeat } from './heartbeat.js'
 import { watchedKinds } from './watched-kinds.js'
 
-/** What a heartbeat's message says; kinds that it doesn't name are left out. */
+/** Decodes a heartbeat's message; kinds for which it has no values are left out. */
 export function decodeHeartbeat ({ n, parts }: PeerMessage): Heartbeat {
   const numbers = Array.isArray(parts) ? parts.map(Number) : []
   const kinds = watchedKinds.flatMap((kind, i) => {
--- a/src/fleet/fleet-watch.ts
+++ b/src/fleet/fleet-watch.ts
@@ -20,12 +20,12 @@
 import type { StoreError } from '../store/store-error.js'
 import { StoreMirror } from '../store/store-mirror.js'
 import type { WatchBatch } from '../store/watch-batch.js'
+import type { ChangeNotice } from './change-notice.js'
+import { ChangePublisher } from './change-publisher.js'
 import { DaemonDirectory } from './daemon-directory.js'
 import { decodeHeartbeat } from './decode-heartbeat.js'
 import { followKind } from './follow-kind.js'
 import { listWatchers } from './list-watchers.js'
-import type { ChangeNotice } from './change-notice.js'
-import { ChangePublisher } from './change-publisher.js'
 import { planRemoval } from './plan-removal.js'
 import { watchedKinds } from './watched-kinds.js'
 import { WatcherContact } from './watcher-contact.js'
@@ -33,17 +33,16 @@
 const CONFIGURATION = 'configuration'
 const INSTANCES = 'instances'
 const CHECK_PERIOD = 500
-/** Between two questions to watchers, ms: both notice at once that this daemon lacks something. */
+/** Minimum interval between requests for missing changes, ms; a gap shows in the messages of several watchers at once. */
 const MIN_REQUEST_INTERVAL = 250
 
 /**
- * What this daemon knows of the configuration and of the backend servers, from the store and from its peers.
+ * Keeps this daemon's configuration and list of backend servers up to date, from the store and from its peers.
  *
- * A few daemons of each failure domain watch the store and tell all others what changed: a watch in each would grow the
- * calls with the fleet. A daemon whose watchers have fallen silent watches for itself; one that can't reach the store
- * lives on what the others tell it.
+ * Two daemons of each failure domain watch the store and publish changes to the others, so that calls to the store don't grow with
+ * the fleet. A daemon whose watchers are unresponsive watches the store itself; one that can't reach the store relies on its peers.
  *
- * News may be lost on the way. Heartbeats of the watchers show that something is lacking here, and a daemon asks for it.
+ * Messages may be lost. The watchers' heartbeats reveal missing changes, which the daemon then requests.
  */
 @scoped(Lifecycle.ContainerScoped)
 export class FleetWatch implements Part {
@@ -58,11 +57,11 @@
   private readonly mirrors: ReadonlyMap<string, StoreMirror<any>> = new Map<string, StoreMirror<any>>([[CONFIGURATION, this.configurations], [INSTANCES, this.instances]])
   private readonly publisher: ChangePublisher
   private readonly contact = new WatcherContact()
-  /** By kind, when the store answered this daemon last, monotonic ms. */
+  /** Time of the store's last answer to this daemon, by kind, monotonic ms. */
   private readonly answeredAt = new Map<string, number>()
-  /** Servers whose entries have gone and that are used on for a while: until when, monotonic ms. */
+  /** Servers that stay in use for a while although their entries were deleted, with the end of that time, monotonic ms. */
   private readonly held = new Map<string, { readonly instance: Instance, readonly until: number }>()
-  private readonly ended = new AbortController()
+  private readonly stopped = new AbortController()
   private isStoreUnavailable = false
   private recoveredAt = -Infinity
   private requestedAt = -Infinity
@@ -99,15 +98,15 @@
 
   async stop (): Promise<void> {
     this.cancel()
-    this.ended.abort()
+    this.stopped.abort()
   }
 
-  /** Whether the backend servers are known, from the store or from another daemon. */
+  /** Whether a list of backend servers has been received, from the store or from another daemon. */
   get hasServers (): boolean {
     return this.instances.cursor >= 0 || this.instances.list().size > 0
   }
 
-  /** `listener` runs when the servers have changed; the function it gives back ends that. */
+  /** Calls `listener` after each change of the servers. Returns a function that unsubscribes it. */
   subscribe (listener: () => void): () => void {
     return this.list.subscribe(listener)
   }
@@ -122,19 +121,19 @@
       shouldWatch: () => this.shouldWatch(kind),
       onBatch: batch => this.applyBatch(kind, mirror, batch),
       onFailure: error => this.recordFailure(kind, error)
-    }, this.ended.signal)
+    }, this.stopped.signal)
   }
 
   private shouldWatch (kind: string): boolean {
     return this.mirrors.get(kind)!.cursor < 0 || this.isWatcher || this.contact.isUnresponsive(kind, this.clock.now())
   }
 
-  /** When the store last answered this daemon or a watcher about the kind, monotonic ms. */
+  /** Returns the time of the store's last answer to this daemon or a watcher about the kind, monotonic ms. */
   private findAnswerTime (kind: string): number {
     return Math.max(this.answeredAt.get(kind) ?? -Infinity, this.contact.findAnswerTime(kind))
   }
 
-  /** Whether this daemon is one of those that watch for its failure domain. */
+  /** Returns whether this daemon is one of its failure domain's watchers. */
   private isAssignedWatcher (): boolean {
     const { instance, failureDomain } = this.settings
     return listWatchers(this.members.all(), failureDomain, instance).includes(instance)
@@ -165,7 +164,7 @@
     if (this.holder.value.version === 0 || !this.list.known) this.requestFromRandom()
   }
 
-  /** News of another daemon, which may be a watcher's or an answer to a question. */
+  /** Applies changes from another daemon: a watcher's notice or the response to a request. */
   private receiveNotice ({ kind, batch, sure, hold }: PeerMessage, from: string): void {
     const received = batch as WatchBatch<any>
     const mirror = this.mirrors.get(String(kind))
@@ -187,23 +186,24 @@
     for (const [kind, { published }] of heartbeat.kinds) this.requestIfBehind(kind, published, from)
   }
 
-  /** Ends the doubt about servers that are gone for certain; gives back their names. */
+  /** Releases held servers that are certainly gone and returns their names. */
   private endHolds (kind: string, { deleted }: WatchBatch<unknown>): readonly string[] {
     return kind === INSTANCES ? deleted.filter(name => this.held.delete(name)) : []
   }
 
-  /** Asks a daemon that has told everything up to `revision` for what this one lacks of it. */
+  /** Requests the missing changes from a daemon that has published everything up to `revision`, if this one is behind. */
   private requestIfBehind (kind: string, revision: number, from: string): void {
     const now = this.clock.now()
     if (revision <= (this.mirrors.get(kind)?.complete ?? Infinity) || now < this.requestedAt + MIN_REQUEST_INTERVAL) return
     this.requestedAt = now
-    this.log.write('info', 'fleet', 'lacks news and asks for them', { kind, revision, complete: this.mirrors.get(kind)?.complete, from })
+    this.log.write('info', 'fleet', 'requests missing changes', { kind, revision, complete: this.mirrors.get(kind)?.complete, from })
     this.publisher.requestMissing(from)
   }
 
   /**
-   * Servers that went are used on for as long as this daemon would, or the one that tells of it: one that leaves watching to others
-   * doesn't notice a short outage, in which the entries of servers that are well lapse.
+   * Applies changes of a kind. Deleted servers stay in use for the longer of this daemon's hold time and the sender's: a daemon that
+   * doesn't watch the store doesn't notice a short outage, in which the entries of healthy servers expire. If the sender is sure of the
+   * deletion, they are dropped at once, even if the store is unavailable to this daemon.
    */
   private applyChange ({ kind, names, sure = false, hold = 0 }: ChangeNotice, before: ReadonlyMap<string, Instance>): void {
     if (kind === CONFIGURATION) return this.applyConfiguration()
@@ -237,7 +237,7 @@
     for (const name of expired) this.held.delete(name)
     if (expired.length > 0) this.updateList()
     this.isWatcher = this.isAssignedWatcher()
-    // One that leaves watching to others makes no call that could show it.
+    // A daemon that doesn't watch makes no call that would show the recovery.
     if (!watchedKinds.some(kind => this.shouldWatch(kind))) this.recordAnswer({ by: 'watchers' })
     if (this.isStoreUnavailable) this.requestFromRandom()
     if (this.isWatcher && now >= this.nextHeartbeatAt) this.sendHeartbeat(now)
@@ -249,9 +249,8 @@
   }
 
   /**
-   * How long a server whose entry has gone is still used by what this daemon knows of the store, ms. One for which the store has
-   * been there all the time knows that what went has gone; one that was turned away by the store alone takes its word, and doesn't
-   * go on using a server that has left.
+   * Returns how long a server whose entry was deleted stays in use, by this daemon's view of the store, ms; undefined if the store
+   * is available and hasn't just recovered, so that the server is certainly gone.
    */
   private planHold (): number | undefined {
     const now = this.clock.now()
@@ -259,7 +258,7 @@
     return until === undefined ? undefined : until - now
   }
 
-  /** One daemon at random: the next question goes to another. */
+  /** Requests missing changes from a random daemon, so that repeated requests reach different ones. */
   private requestFromRandom (): void {
     const others = listOthers(this.members.all(), this.settings.instance)
     if (others.length > 0) this.publisher.requestMissing(others[this.random.below(others.length)]!)
--- a/src/fleet/follow-kind.ts
+++ b/src/fleet/follow-kind.ts
@@ -7,13 +7,13 @@
 import type { WatchBatch } from '../store/watch-batch.js'
 
 /**
- * How long one watch waits, ms. A connection that has gone silent is noticed when it runs out; news must be in force
- * within 2 s while nothing else is wrong, and the other watchers' word covers the rest.
+ * Duration of one watch, ms. A stalled connection is detected when it ends; until then the other watchers' notifications keep
+ * changes within their bound of 2 s.
  */
 const WAIT = 4_000
-/** Between a failed watch and the next, ms; short, as a daemon that hears nothing acts on what is old. */
+/** Delay before a failed watch is retried, ms; short, since a daemon without updates acts on outdated state. */
 const RETRY = 250
-/** How often a daemon that leaves watching to others asks itself whether it still may, ms: a part of the 2 s above. */
+/** Interval at which a daemon that doesn't watch checks whether it has to, ms; counts towards the 2 s above. */
 const RECHECK = 250
 
 interface FollowOptions<T> {
@@ -22,13 +22,13 @@
   readonly random: Random
   readonly kind: string
   readonly getCursor: () => number
-  /** Whether to watch now; asked before each watch. */
+  /** Returns whether to watch now; called before each watch. */
   readonly shouldWatch: () => boolean
   readonly onBatch: (batch: WatchBatch<T>) => void
   readonly onFailure: (error: StoreError) => void
 }
 
-/** Watches a kind of object for as long as `wants` says so, resuming where the last watch ended. Ends when `signal` does. */
+/** Watches a kind of object while `shouldWatch` returns true, and resumes where the last watch ended. Ends when `signal` is aborted. */
 export async function followKind<T> (options: FollowOptions<T>, signal: AbortSignal): Promise<void> {
   const { clock, random, shouldWatch } = options
   while (!signal.aborted) {
--- a/src/fleet/heartbeat.ts
+++ b/src/fleet/heartbeat.ts
@@ -1,14 +1,14 @@
-/** What a watcher's heartbeat says of one kind of object. */
+/** State of one kind of object in a watcher's heartbeat. */
 interface KindState {
-  /** The revision up to which the watcher has told everything. */
+  /** The revision up to which the watcher has published every change. */
   readonly published: number
-  /** How long ago the store answered the watcher last, ms. */
+  /** Time since the store last answered the watcher, ms. */
   readonly age: number
 }
 
-/** A watcher's periodic word to the daemons that rely on it. */
+/** Periodic message of a watcher to the daemons that rely on it. */
 export interface Heartbeat {
-  /** When the next one comes, ms. */
+  /** Time until the next heartbeat, ms. */
   readonly next: number
   readonly kinds: ReadonlyMap<string, KindState>
 }
--- a/src/fleet/list-recipients.ts
+++ b/src/fleet/list-recipients.ts
@@ -3,8 +3,8 @@
 import { listWatchers } from './list-watchers.js'
 
 /**
- * The daemons that a watcher of `failureDomain` tells what it saw. In a larger fleet these are those of its own domain and the
- * watchers of the others.
+ * Lists the daemons to which a watcher of `failureDomain` publishes changes: all daemons of a small fleet, otherwise those of its own
+ * domain and the watchers of the other domains.
  */
 export function listRecipients (members: readonly Member[], failureDomain: string): readonly string[] {
   if (isSmallFleet(members)) return members.map(({ instance }) => instance.name)
--- a/src/fleet/plan-heartbeat.ts
+++ b/src/fleet/plan-heartbeat.ts
@@ -1,9 +1,9 @@
-/** Between two heartbeats of a watcher, ms: three of them fit into the 2 s in which a change must be in force. */
+/** Shortest interval between a watcher's heartbeats, ms; three of them fit into the 2 s within which a change must take effect. */
 const PERIOD = 500
-/** Daemons to which a watcher sends one each period; with more, its heartbeats come as much less often. */
+/** Number of recipients beyond which the interval grows in proportion, to bound the bandwidth. */
 const RECIPIENTS_PER_PERIOD = 24
 
-/** How long a watcher waits between two heartbeats to `told` daemons, ms. */
+/** Returns the interval between a watcher's heartbeats to `recipients` daemons, ms. */
 export function planHeartbeat (recipients: number): number {
   return PERIOD * Math.max(1, Math.ceil(recipients / RECIPIENTS_PER_PERIOD))
 }
--- a/src/fleet/plan-removal.ts
+++ b/src/fleet/plan-removal.ts
@@ -1,19 +1,19 @@
-/** How long an entry may take to be back once the store has returned, ms: two seconds by the platform's word, and travel. */
+/** Time within which a server registers again after the store recovers, ms: the platform's bound of 2 s plus latency. */
 const REGISTER_WITHIN = 2_200
 
 interface StoreState {
   /** Whether this daemon's last call to the store failed. */
   readonly isUnavailable: boolean
-  /** Monotonic ms at which the store answered again after a failure; -Infinity before the first. */
+  /** Time of the store's last recovery after a failure, monotonic ms; -Infinity before the first. */
   readonly recoveredAt: number
 }
 
 /**
- * Until when a server whose entry has gone is still used, monotonic ms; undefined to drop it at once.
+ * Returns until when a server whose entry was deleted stays in use, monotonic ms, or undefined to drop it at once.
  *
- * While the store is away, servers can't renew their entries, and all lapse at once though the servers are well. Dropped
- * at the store's return, they would leave the daemon with no server for the second or two in which they register anew.
- * Holding them for that long is enough, because one that isn't back by then has gone.
+ * During an outage of the store, servers can't renew their entries, so all entries expire although the servers are healthy. If
+ * they were dropped when the store recovers, the daemon would have no server until they have registered again. A server that hasn't
+ * registered by then is gone.
  */
 export function planRemoval (now: number, { isUnavailable, recoveredAt }: StoreState): number | undefined {
   if (isUnavailable) return now + REGISTER_WITHIN
--- a/src/fleet/watcher-contact.ts
+++ b/src/fleet/watcher-contact.ts
@@ -1,18 +1,18 @@
 import type { Heartbeat } from './heartbeat.js'
 
-/** Age of the store's last word, as told by watchers, after which a daemon watches for itself, ms: one watch, a retry, and the way of the news. */
+/** Age of the watchers' last answer from the store at which a daemon starts to watch, ms: one watch, a retry and latency. */
 const MAX_ANSWER_AGE = 6_000
-/** How much later than due a heartbeat may come, ms. */
+/** Permitted delay of a heartbeat, ms. */
 const HEARTBEAT_TOLERANCE = 700
 
-/** When this daemon heard the watchers that it relies on. Times in monotonic ms. */
+/** Tracks messages from the watchers that this daemon relies on. Times in monotonic ms. */
 export class WatcherContact {
-  /** By kind, the latest moment at which the store is known to have answered a watcher. */
+  /** Latest known answer of the store to a watcher, by kind. */
   private readonly answeredAt = new Map<string, number>()
   private receivedAt = -Infinity
   private nextDueBy = -Infinity
 
-  /** Takes a watcher's news of a kind, which come with an answer of the store. */
+  /** Records a watcher's change notice of a kind, which implies an answer of the store. */
   recordNotice (kind: string, now: number): void {
     this.answeredAt.set(kind, now)
   }
@@ -23,12 +23,12 @@
     for (const [kind, { age }] of kinds) this.answeredAt.set(kind, Math.max(this.answeredAt.get(kind) ?? -Infinity, now - age))
   }
 
-  /** The latest moment at which the store is known to have answered a watcher about the kind; -Infinity before the first. */
+  /** Returns the time of the latest known answer of the store to a watcher about the kind; -Infinity before the first. */
   findAnswerTime (kind: string): number {
     return this.answeredAt.get(kind) ?? -Infinity
   }
 
-  /** Whether the watchers can't be relied on for a kind. One of an earlier version sends news alone, and no heartbeats. */
+  /** Returns whether the watchers can't be relied on for a kind. Watchers of an earlier version send change notices but no heartbeats. */
   isUnresponsive (kind: string, now: number): boolean {
     const isLate = now > this.nextDueBy && now <= this.receivedAt + MAX_ANSWER_AGE
     return isLate || now > this.findAnswerTime(kind) + MAX_ANSWER_AGE
--- a/test/fleet/build-change-batch.test.ts
+++ b/test/fleet/build-change-batch.test.ts
@@ -8,12 +8,12 @@
 const KIND = 'k'
 const RUNS = 3_000
 
-/** A daemon that follows the table and tells others. */
+/** A daemon that follows the table and publishes its changes. */
 class Daemon {
   readonly mirror = new StoreMirror<number>()
   private published = -1
 
-  /** Reads what has changed and gives back the news of it. */
+  /** Reads the changes of the table and returns the batch to publish. */
   follow (table: ObjectTable, isWhole: boolean): WatchBatch<number> {
     const since = isWhole ? -1 : this.mirror.cursor
     const names = this.mirror.apply({ revision: table.revision, ...table.changesSince(KIND, since), whole: since < 0 } as WatchBatch<number>)
@@ -55,13 +55,13 @@
   }
 }
 
-/** The objects as they were at a revision, without those that have changed since. */
+/** Lists the objects that haven't changed since a revision. */
 function listUnchanged (table: ObjectTable, revision: number): readonly (readonly [string, number])[] {
   return table.list(KIND, '', '', Infinity).filter(({ version }) => version <= revision).map(({ name, value }) => [name, value as number])
 }
 
-// Guards against a daemon that takes itself to be up to date though it has lost a change.
-test('a daemon that believes itself complete up to a revision lacks nothing up to it', t => {
+// Guards against a daemon that considers itself up to date although it has lost a change.
+test('a daemon that is complete up to a revision lacks no change up to it', t => {
   fc.assert(fc.property(steps, all => {
     const table = new ObjectTable()
     const daemons = [new Daemon(), new Daemon(), new Daemon()]
@@ -78,8 +78,8 @@
   t.pass()
 })
 
-// Guards against a loss that is noticed and not made good: an answer that lacks an object, or that names no deleted one.
-test('one answer makes good whatever was lost', t => {
+// Guards against a response to a request for missing changes that omits an object or a deletion.
+test('one response restores every lost change', t => {
   fc.assert(fc.property(steps, all => {
     const table = new ObjectTable()
     const daemons = [new Daemon(), new Daemon(), new Daemon()]
@@ -97,8 +97,8 @@
   return table.changesSince(KIND, Math.max(0, revision)).deleted.includes(name)
 }
 
-// Guards against a daemon that has never heard of a deleted object, and takes it from the old answer of another for one that is there.
-test('an answer from before a deletion does not bring the object back', t => {
+// Guards against a daemon that never received a deleted object and adds it from another daemon's outdated response.
+test('an outdated response does not restore a deleted object', t => {
   const table = new ObjectTable()
   const daemons = [new Daemon(), new Daemon(), new Daemon()]
   const all: readonly Step[] = [
--- a/test/fleet/fleet-watch.test.ts
+++ b/test/fleet/fleet-watch.test.ts
@@ -22,17 +22,17 @@
 
 const DOMAINS = ['a', 'b', 'c']
 
-/** A store with one configuration that turns some daemons away. */
+/** A store with one configuration that rejects calls of some daemons. */
 class Store {
   version = 1
-  readonly away = new Set<string>()
+  readonly rejected = new Set<string>()
 
   constructor (private readonly clock: VirtualClock) {}
 
   async watch (daemon: string, kind: string, revision: number, wait: number): Promise<Result<WatchBatch<any>, StoreError>> {
     const end = this.clock.now() + wait
     for (;;) {
-      if (this.away.has(daemon)) return Err({ type: 'unavailable', reason: 'turned away' })
+      if (this.rejected.has(daemon)) return Err({ type: 'unavailable', reason: 'rejected' })
       if (revision < 0 || (kind === 'configuration' && this.version > revision)) {
         const changed = kind === 'configuration' ? [{ kind, name: 'main', version: this.version, value: { version: this.version } }] : []
         return Ok({ revision: this.version, changed, deleted: [], whole: revision < 0 } as unknown as WatchBatch<any>)
@@ -73,35 +73,34 @@
     watches.set(name, watch)
     await watch.start()
   }
-  // Each watches for itself until it has heard a watcher.
+  // Each daemon watches the store until a watcher's first message.
   await clock.advance(10_000)
   const readAges = (): readonly number[] => allMetrics.map(metrics => Number(/configuration_age_ms (\d+)/.exec(metrics.write())![1]))
   return { clock, store, versions, readAges, members }
 }
 
-// The store turns away both daemons that watch it for a failure domain, and right after that the configuration changes. The other
-// daemons of that domain reach the store, but rely on those two; they must have the change in time all the same.
-test('a domain whose watchers are all turned away has a new configuration in time', async t => {
+// Guards against outdated configurations in a failure domain whose two watchers the store rejects just before a change.
+test('a failure domain whose watchers are all rejected by the store receives a new configuration in time', async t => {
   const { clock, store, versions, members } = await createFleet(21)
   t.true([...versions.values()].every(version => version === 1))
   t.is(versions.size, 21)
-  for (const name of listWatchers(members, 'a')) store.away.add(name)
+  for (const name of listWatchers(members, 'a')) store.rejected.add(name)
   await clock.advance(500)
   store.version = 2
   await clock.advance(1_000)
   t.deepEqual([...versions].filter(([, version]) => version !== 2), [])
 })
 
-// Whoever is on call asks whether a daemon may act on an old configuration: the version alone can't tell, where nothing has changed.
+// Guards against a metric that doesn't show whether a daemon may use an outdated configuration.
 test('the age of the configuration stays small while the store or a watcher confirms it, and grows when neither does', async t => {
   const { clock, store, readAges, members } = await createFleet(21)
   await clock.advance(60_000)
-  // A watch that waits for news is answered after 4 s.
+  // A watch without changes is answered after 4 s.
   t.true(readAges().every(age => age <= 4_500), readAges().join())
-  for (const { instance: { name } } of members) store.away.add(name)
+  for (const { instance: { name } } of members) store.rejected.add(name)
   await clock.advance(10_000)
   t.true(readAges().every(age => age >= 10_000), readAges().join())
-  store.away.clear()
+  store.rejected.clear()
   await clock.advance(5_000)
   t.true(readAges().every(age => age <= 4_500), readAges().join())
 })
--- a/test/fleet/heartbeat.test.ts
+++ b/test/fleet/heartbeat.test.ts
@@ -6,8 +6,9 @@
 import { Session } from '../../src/peers/session.js'
 import type { SessionEvent } from '../../src/peers/session-event.js'
 
-/** Control of a daemon among 380, bytes/s, and the 62 others of its domain and 10 watchers of other domains that it tells. */
+/** Bandwidth for control messages of a daemon in a fleet of 380, bytes/s. */
 const CONTROL_BANDWIDTH = 6_000
+/** The 62 other daemons of its failure domain and 10 watchers of other domains. */
 const RECIPIENTS = 72
 
 const heartbeat: Heartbeat = { next: 500, kinds: new Map([['configuration', { published: 1_234_567, age: 3_999 }], ['instances', { published: 1_234_599, age: 12 }]]) }
@@ -23,13 +24,13 @@
   return opener
 }
 
-test('a heartbeat says what it was told', t => {
+test('a heartbeat is decoded as it was encoded', t => {
   t.deepEqual(decodeHeartbeat(encodeHeartbeat(heartbeat)), heartbeat)
   t.deepEqual(decodeHeartbeat({ type: 'heartbeat', n: 500, parts: [1, 2, 3] }).kinds, new Map([['configuration', { published: 1, age: 2 }]]))
 })
 
-// Guards against heartbeats that take what a watcher may send for all control.
-test('heartbeats to a large domain take less than half of what a daemon may send', t => {
+// Guards against heartbeats that use up a watcher's bandwidth for control messages.
+test('heartbeats to a large failure domain use less than half of the control bandwidth', t => {
   const session = createSession()
   session.seal({ t: 1_000 })
   const bytes = session.seal({ t: 2_500, ping: true, m: encodeHeartbeat(heartbeat) }).length
--- a/test/fleet/lost-changes.test.ts
+++ b/test/fleet/lost-changes.test.ts
@@ -4,9 +4,9 @@
 import type { WatchBatch } from '../../src/store/watch-batch.js'
 import { WatchFleet } from '../helpers/watch-fleet.js'
 
-/** The users' bound from the store's acknowledgement to a configuration or a server's leaving in force, ms. */
+/** The users' bound from the store's acknowledgement of a change until it takes effect, ms. */
 const BOUND = 2_000
-/** Beyond the time of one watch, so that empty news follow what was lost. */
+/** Longer than one watch, so that an empty notice follows a lost one. */
 const LATER = 8_000
 
 interface Setup { readonly fleet: WatchFleet, readonly watchers: readonly string[], readonly follower: string }
@@ -20,13 +20,13 @@
   return { fleet, watchers: fleet.listWatchers('a'), follower: fleet.listFollowers('a')[0]! }
 }
 
-/** The store answers `first` before all others, which have the change from it when their own answers come. */
+/** Lets the store answer `first` before the others, which have received the change from it when their own answers arrive. */
 function setFirst (fleet: WatchFleet, first: string): void {
   for (const { instance: { name } } of fleet.members) if (name !== first) fleet.lags.set(name, 20)
 }
 
-// Guards against a daemon that goes by an old configuration for good because the one message of the new one was lost.
-test('a daemon that loses the message of a configuration has it in time', async t => {
+// Guards against a daemon that keeps an old configuration because the only message with the new one was lost.
+test('a daemon that loses a configuration message receives the configuration in time', async t => {
   const { fleet, watchers: [first], follower } = await createFleet()
   setFirst(fleet, first!)
   let lost = 0
@@ -38,8 +38,8 @@
   t.deepEqual({ lost: Math.min(lost, 1), inTime, later: fleet.readVersion(follower) }, { lost: 1, inTime: 2, later: 2 })
 })
 
-// Guards against requests that go on to a server which has left, for good, as the one message that told of its leaving was lost.
-test('a daemon that loses the message of a server that has left drops it in time', async t => {
+// Guards against requests to a server that has left, because the only message with its removal was lost.
+test('a daemon that loses the message of a server\'s removal drops the server in time', async t => {
   const { fleet, watchers: [first], follower } = await createFleet()
   setFirst(fleet, first!)
   let lost = 0
@@ -52,8 +52,8 @@
   t.deepEqual({ lost: Math.min(lost, 1), inTime, later: fleet.listServers(follower) }, { lost: 1, inTime: ['s2'], later: ['s2'] })
 })
 
-// Guards against the same where both watchers' links to the daemon are down while they tell of a change, as after a pause.
-test('a daemon that loses both watchers\' messages of a change has it in time', async t => {
+// Guards against a lost change when the links from both watchers are down for a moment, as after a pause.
+test('a daemon that loses both watchers\' messages receives a change in time', async t => {
   const { fleet, watchers, follower } = await createFleet()
   fleet.isLost = ({ from, to }) => watchers.includes(from) && to === follower
   await fleet.putConfiguration(2)
@@ -67,8 +67,8 @@
     { inTime: { version: 2, servers: ['s2'] }, later: { version: 2, servers: ['s2'] } })
 })
 
-// Guards against a daemon that hears its watchers no more, though it reaches the store, and goes by what it knows for 6 s.
-test('a daemon that hears no watcher any more has a change in time', async t => {
+// Guards against a daemon that uses outdated state for 6 s after losing its watchers, although it can reach the store.
+test('a daemon without contact to its watchers receives a change in time', async t => {
   const { fleet, watchers, follower } = await createFleet()
   fleet.isLost = ({ from, to }) => watchers.includes(from) && to === follower
   await fleet.putConfiguration(2)
@@ -77,8 +77,8 @@
   t.deepEqual({ version: fleet.readVersion(follower), servers: fleet.listServers(follower) }, { version: 2, servers: ['s2'] })
 })
 
-// Guards against questions for nothing.
-test('while nothing is lost no daemon asks for news', async t => {
+// Guards against needless requests between daemons.
+test('while no message is lost no daemon requests missing changes', async t => {
   const { fleet, watchers } = await createFleet()
   const others = fleet.listWatchers('b')
   for (const [i, first] of [watchers[0]!, watchers[1]!, others[0]!].entries()) {
@@ -93,22 +93,22 @@
 })
 
 // Guards against calls to the store that grow with the fleet.
-test('daemons that hear their watchers make no calls to the store', async t => {
+test('daemons in contact with their watchers make no calls to the store', async t => {
   const { fleet } = await createFleet()
   const watchers = ['a', 'b', 'c'].flatMap(domain => fleet.listWatchers(domain)).sort()
   fleet.callers.length = 0
   await fleet.clock.advance(20_000)
   t.deepEqual([...new Set(fleet.callers)].sort(), watchers)
-  // Two kinds, one watch of 4 s after the other.
+  // Two kinds, with consecutive watches of 4 s each.
   t.true(fleet.callers.length <= watchers.length * 2 * 20 / 4)
-  for (const { instance: { name } } of fleet.members) fleet.unreachable.add(name)
+  for (const { instance: { name } } of fleet.members) fleet.rejected.add(name)
   fleet.callers.length = 0
   await fleet.clock.advance(1_900)
   t.deepEqual([...new Set(fleet.callers)].sort(), watchers)
 })
 
-// Guards against versions of the program that do not understand each other while they are replaced.
-test('daemons of the version before hear and tell changes', async t => {
+// Guards against incompatible versions during a rolling upgrade.
+test('daemons of the previous version receive and publish changes', async t => {
   const { fleet, watchers, follower } = await createFleet()
   fleet.change = ({ from, message }) => watchers.includes(from) ? omitNew(message) : message
   fleet.isLost = ({ from, message }) => watchers.includes(from) && message.type === 'heartbeat'
--- a/test/helpers/watch-fleet.ts
+++ b/test/helpers/watch-fleet.ts
@@ -20,30 +20,30 @@
 import { VirtualClock } from './virtual-clock.js'
 
 const DOMAINS = ['a', 'b', 'c']
-/** Time of a message between daemons, ms. */
+/** Latency of a message between daemons, ms. */
 const LINK_DELAY = 1
-/** A waiting watch looks this often whether its daemon is turned away, ms. */
+/** Interval at which a waiting watch checks whether its daemon can still reach the store, ms. */
 const WATCH_STEP = 100
-/** Each daemon watches for itself until it has heard a watcher, and a watch takes 4 s. */
+/** Time until only watchers watch, ms: each daemon watches the store until a watcher's first message, and a watch takes 4 s. */
 const SETTLING = 10_000
 
-/** What a daemon sent another. */
+/** A message between two daemons. */
 interface Sent { readonly from: string, readonly to: string, readonly message: PeerMessage }
 
-/** Daemons of three failure domains that follow one store on virtual time. The links between them may lose messages. */
+/** Simulates daemons of three failure domains that follow one store on virtual time, over links that may lose messages. */
 export class WatchFleet {
   readonly clock = new VirtualClock()
   readonly store = new MemoryStore()
   readonly sent: Sent[] = []
   /** The daemon of each call to the store. */
   readonly callers: string[] = []
-  /** Whether a message is lost on its way. */
+  /** Returns whether a message is lost. */
   isLost: (sent: Sent) => boolean = () => false
-  /** What arrives of a message. */
+  /** Returns the message that arrives. */
   change: (sent: Sent) => PeerMessage = ({ message }) => message
-  /** Daemons that the store turns away. */
-  readonly unreachable = new Set<string>()
-  /** How much later than others' a daemon's answers of the store come, ms. */
+  /** Daemons whose calls the store rejects. */
+  readonly rejected = new Set<string>()
+  /** Additional latency of the store's answers, by daemon, ms. */
   readonly lags = new Map<string, number>()
   readonly members: readonly Member[]
   private readonly watches = new Map<string, FleetWatch>()
@@ -60,23 +60,23 @@
     await this.clock.advance(SETTLING)
   }
 
-  /** The watchers of a failure domain. */
+  /** Lists the watchers of a failure domain. */
   listWatchers (failureDomain: string): readonly string[] {
     return listWatchers(this.members, failureDomain)
   }
 
-  /** The daemons of a failure domain that leave watching to others. */
+  /** Lists the daemons of a failure domain that rely on its watchers. */
   listFollowers (failureDomain: string): readonly string[] {
     const watchers = this.listWatchers(failureDomain)
     return this.members.filter(({ instance }) => instance.failureDomain === failureDomain && !watchers.includes(instance.name)).map(({ instance }) => instance.name)
   }
 
-  /** The version of the configuration that a daemon goes by. */
+  /** Returns the version of the configuration that a daemon uses. */
   readVersion (daemon: string): number {
     return this.holders.get(daemon)!.value.version
   }
 
-  /** The backend servers that a daemon knows. */
+  /** Lists the backend servers that a daemon uses. */
   listServers (daemon: string): readonly string[] {
     return this.lists.get(daemon)!.all.map(({ name }) => name)
   }
@@ -95,7 +95,7 @@
     if (present.ok) await this.store.delete('instances', name, present.val.version)
   }
 
-  /** Gives a daemon a message of another. */
+  /** Delivers a message to its recipient. */
   receive ({ from, to, message }: Sent): void {
     for (const { value } of this.watches.get(to)!.extensions) if ((value as PeerHandler).type === message.type) (value as PeerHandler).handle(message, from)
   }
@@ -123,7 +123,7 @@
   private async watch (daemon: string, kind: string, revision: number, wait: number): Promise<Result<WatchBatch<Configuration>, StoreError>> {
     this.callers.push(daemon)
     for (const end = this.clock.now() + wait; ;) {
-      if (this.unreachable.has(daemon)) return Err({ type: 'unavailable', reason: 'turned away' })
+      if (this.rejected.has(daemon)) return Err({ type: 'unavailable', reason: 'rejected' })
       const batch = await this.store.watch<Configuration>(kind, revision)
       const changes = batch.ok ? batch.val.changed.length + batch.val.deleted.length : 0
       if (batch.err || revision < 0 || changes > 0 || this.clock.now() >= end) {
