--- a/src/admission/account-flush.ts
+++ b/src/admission/account-flush.ts
@@ -23,7 +23,7 @@
   private readonly writer: AccountWriter
   private flushedAsked = 0
   /** Monotonic ms before which none is due, but for many requests or the end. */
-  private due: number
+  private dueAt: number
   /** Monotonic ms before which a failed one isn't tried again. */
   private retryAt = 0
   private last: Promise<boolean> = Promise.resolve(true)
@@ -38,8 +38,8 @@
     @inject(Members) private readonly members: Members
   ) {
     this.writer = new AccountWriter({ store, instance: settings.instance, started: clock.date() })
-    this.due = clock.now() + this.writer.due.period
-    account.subscribe(() => { if (account.askedOnline - this.flushedAsked >= this.writer.due.lead) this.begin() })
+    this.dueAt = clock.now() + this.writer.due.period
+    account.subscribe(() => { if (account.askedOnline - this.flushedAsked >= this.writer.due.lead) this.startFlush() })
   }
 
   /** The run is known to the platform before it counts: one that was killed before its first flush would leave no trace. */
@@ -63,10 +63,10 @@
   private check (): void {
     const date = this.clock.date()
     if (this.writer.isDayOver(date)) this.writer.endDay(this.account.readSample(date))
-    if (this.clock.now() >= this.due) this.begin()
+    if (this.clock.now() >= this.dueAt) this.startFlush()
   }
 
-  private begin (): void {
+  private startFlush (): void {
     if (!this.running && this.clock.now() >= this.retryAt) void this.flush(false)
   }
 
@@ -85,7 +85,7 @@
     if (written) this.flushedAsked = sample.askedOnline
     const now = this.clock.now()
     this.retryAt = written ? 0 : now + CHECK_PERIOD
-    this.due = written ? now + this.writer.due.period : this.retryAt
+    this.dueAt = written ? now + this.writer.due.period : this.retryAt
     return written
   }
 }
--- a/src/admission/account-fold.ts
+++ b/src/admission/account-fold.ts
@@ -42,8 +42,8 @@
     const parts = (await readAll<AccountPart>(this.store, 'account')).unwrapOr([])
     for (const part of parts) {
       const { closed, flushedAt } = part.value
-      const { foldAfter, foldClosedAfter } = accountLimits
-      if (this.clock.date() - flushedAt > (closed ? foldClosedAfter : foldAfter)) await mergePart(this.store, part)
+      const { foldOpenAfter, foldClosedAfter } = accountLimits
+      if (this.clock.date() - flushedAt > (closed ? foldClosedAfter : foldOpenAfter)) await mergePart(this.store, part)
     }
   }
 }
--- a/src/admission/account-questions.ts
+++ b/src/admission/account-queries.ts
@@ -16,14 +16,14 @@
 
 type Parts = Readonly<Record<string, AccountPart>>
 
-interface Told {
+interface QueriedParts {
   readonly parts: Parts
   /** Daemons that didn't answer in time. */
-  readonly silent: readonly string[]
+  readonly unresponsive: readonly string[]
 }
 
-const QUESTION = 'account question'
-const ANSWER = 'account answer'
+const REQUEST_TYPE = 'account question'
+const ANSWER_TYPE = 'account answer'
 /** Questions under way at once, and how long each may take: 63 silent daemons, a failure domain, cost 8 s. */
 const CONCURRENCY = 16
 const TIMEOUT = 2_000
@@ -33,9 +33,9 @@
  * from what the daemon last wrote, so that its size goes with the last ten seconds and not with the day.
  */
 @scoped(Lifecycle.ContainerScoped)
-export class AccountQuestions implements Part {
+export class AccountQueries implements Part {
   readonly extensions: readonly Extension[]
-  private readonly questions: MemberQueries<Parts>
+  private readonly queries: MemberQueries<Parts>
 
   constructor (
     @inject(AccountFlush) private readonly flush: AccountFlush,
@@ -44,33 +44,33 @@
     @inject(tokens.settings) private readonly settings: Settings,
     @inject(tokens.clock) clock: Clock
   ) {
-    this.questions = new MemberQueries({ links, clock, requestType: QUESTION, answerType: ANSWER, timeout: TIMEOUT, concurrency: CONCURRENCY, handle: async () => await this.tell(), read: readOwn })
-    this.extensions = this.questions.extensions
+    this.queries = new MemberQueries({ links, clock, requestType: REQUEST_TYPE, answerType: ANSWER_TYPE, timeout: TIMEOUT, concurrency: CONCURRENCY, handle: async () => await this.answer(), read: keepOwn })
+    this.extensions = this.queries.extensions
   }
 
   async start (): Promise<void> {}
 
   async stop (): Promise<void> {
-    this.questions.stop()
+    this.queries.stop()
   }
 
   /** What every daemon has counted, this one among them. */
-  async askAll (): Promise<Told> {
-    const { answers, unresponsive: silent } = await this.questions.ask(listOthers(this.members.all(), this.settings.instance))
-    return { parts: Object.assign({}, await this.flush.peek(), ...answers.values()), silent }
+  async askAll (): Promise<QueriedParts> {
+    const { answers, unresponsive } = await this.queries.ask(listOthers(this.members.all(), this.settings.instance))
+    return { parts: Object.assign({}, await this.flush.peek(), ...answers.values()), unresponsive }
   }
 
   /** Silent with more rows than a part may have, as after an outage: the frame would be over its limit and cost the link. */
-  private async tell (): Promise<{ readonly parts: Parts } | undefined> {
+  private async answer (): Promise<{ readonly parts: Parts } | undefined> {
     const parts = await this.flush.peek()
     const rows = Object.values(parts).reduce((sum, part) => sum + Object.keys(part.rows).length, 0)
-    return rows <= accountLimits.rows ? { parts } : undefined
+    return rows <= accountLimits.maxRows ? { parts } : undefined
   }
 }
 
 /** Only a daemon itself can tell of its parts. */
-function readOwn ({ parts }: PeerMessage, from: string): Parts {
+function keepOwn ({ parts }: PeerMessage, from: string): Parts {
   return Object.fromEntries(Object.entries(parts as Parts).filter(([, { instance }]) => instance === from))
 }
 
-partRegistry.register({ name: 'account questions', part: AccountQuestions, needs: ['account flush', 'members', 'peer links'] })
+partRegistry.register({ name: 'account questions', part: AccountQueries, needs: ['account flush', 'members', 'peer links'] })
--- a/src/admission/account-reader.ts
+++ b/src/admission/account-reader.ts
@@ -4,11 +4,11 @@
 import type { ObjectStore } from '../store/object-store.js'
 import type { AccountDay } from './account-day.js'
 import type { AccountPart } from './account-part.js'
-import { AccountQuestions } from './account-questions.js'
+import { AccountQueries } from './account-queries.js'
 import { Account } from './account.js'
 import { listDays } from './list-days.js'
 import { mergeAccount } from './merge-account.js'
-import { mergeTold } from './merge-told.js'
+import { mergeReported } from './merge-reported.js'
 import type { MergedAccount } from './merged-account.js'
 import { readAll } from './read-all.js'
 import { formatDay } from './format-day.js'
@@ -22,7 +22,7 @@
 export class AccountReader {
   constructor (
     @inject(Account) private readonly account: Account,
-    @inject(AccountQuestions) private readonly questions: AccountQuestions,
+    @inject(AccountQueries) private readonly queries: AccountQueries,
     @inject(tokens.store) private readonly store: ObjectStore,
     @inject(tokens.clock) private readonly clock: Clock
   ) {}
@@ -32,18 +32,18 @@
    * days, so that one which is folded in between is in both, and counted once.
    */
   async read ({ caller, since, until }: ReadOptions): Promise<MergedAccount & { readonly silent: readonly string[] }> {
-    const told = this.mayBeOpen(until) ? await this.questions.askAll() : { parts: {}, silent: [] }
+    const answered = this.mayHaveUnflushed(until) ? await this.queries.askAll() : { parts: {}, unresponsive: [] }
     const read = await readAll<AccountPart>(this.store, 'account')
     const days = await this.readDays(since, until)
     if (read.err || days === undefined) {
-      return { ...this.readOwn(since, until), mayMiss: { asked: 0, runs: [] }, whole: false, silent: told.silent }
+      return { ...this.readOwn(since, until), mayMiss: { asked: 0, runs: [] }, whole: false, silent: answered.unresponsive }
     }
-    const { parts, fresh } = mergeTold(Object.fromEntries(read.val.map(({ name, value }) => [name, value])), days, told.parts)
-    return { ...mergeAccount({ parts, days, fresh, since, until, caller }), silent: told.silent }
+    const { parts, fresh } = mergeReported(Object.fromEntries(read.val.map(({ name, value }) => [name, value])), days, answered.parts)
+    return { ...mergeAccount({ parts, days, fresh, since, until, caller }), silent: answered.unresponsive }
   }
 
   /** What isn't flushed is of today, or in the first moments after midnight of yesterday. */
-  private mayBeOpen (until: string | undefined): boolean {
+  private mayHaveUnflushed (until: string | undefined): boolean {
     return until === undefined || until >= formatDay(this.clock.date() - DAY)
   }
 
--- a/src/admission/account-writer.ts
+++ b/src/admission/account-writer.ts
@@ -20,9 +20,9 @@
   readonly started: number
 }
 
-type Counted = Pick<AccountPart, 'rows' | 'times'>
+type PartCounts = Pick<AccountPart, 'rows' | 'times'>
 
-const none: Counted = { rows: {}, times: {} }
+const emptyCounts: PartCounts = { rows: {}, times: {} }
 
 /**
  * Writes one run's counts to the platform, as one object that only this run adds to. Where the object is closed or gone,
@@ -35,21 +35,21 @@
   private samples = 0
   private day: string
   /** The first sample taken after the part's day had ended: all that the part will hold. */
-  private turn?: AccountSample
+  private dayEndSample?: AccountSample
   /** What earlier parts hold, and what this one held when it was written last. */
-  private earlier = none
-  private flushed = none
+  private earlier = emptyCounts
+  private flushed = emptyCounts
   /** What was written since and may be there: no reply has come. */
-  private unsettled: readonly AccountPart[] = []
-  private last: { askedOnline: number, date: number }
+  private unconfirmed: readonly AccountPart[] = []
+  private lastFlush: { askedOnline: number, date: number }
   private plan = planFlush(1)
-  private next = planFlush(1)
+  private nextPlan = planFlush(1)
   private highestRate = 0
   private longestGap = 0
 
   constructor (private readonly options: AccountWriterOptions) {
     this.day = formatDay(options.started)
-    this.last = { askedOnline: 0, date: options.started }
+    this.lastFlush = { askedOnline: 0, date: options.started }
   }
 
   /**
@@ -57,12 +57,12 @@
    * up by an outage: with a later one, what was counted since midnight would stand on the day before.
    */
   isDayOver (date: number): boolean {
-    return this.turn === undefined && formatDay(date) > this.day
+    return this.dayEndSample === undefined && formatDay(date) > this.day
   }
 
   /** Keeps the sample with which the part's day ends. */
   endDay (sample: AccountSample): void {
-    if (this.isDayOver(sample.date)) this.turn = sample
+    if (this.isDayOver(sample.date)) this.dayEndSample = sample
   }
 
   /** When the next flush is due: what the part that was written last says. */
@@ -72,15 +72,15 @@
 
   /** Takes the number of daemons into account from the next flush on. */
   setDaemons (daemons: number): void {
-    this.next = planFlush(daemons)
+    this.nextPlan = planFlush(daemons)
   }
 
   /** Writes what has been counted; says whether it is in the platform. */
   async flush (sample: AccountSample, closed = false): Promise<boolean> {
-    if (this.unsettled.length > 0 && !await this.find(this.turn ?? sample)) return false
+    if (this.unconfirmed.length > 0 && !await this.recover(this.dayEndSample ?? sample)) return false
     this.endDay(sample)
-    if (this.turn === undefined) return await this.write(sample, closed)
-    return await this.write(this.turn, true) && await this.flush(sample, closed)
+    if (this.dayEndSample === undefined) return await this.write(sample, closed)
+    return await this.write(this.dayEndSample, true) && await this.flush(sample, closed)
   }
 
   /**
@@ -89,11 +89,11 @@
    */
   peek (sample: AccountSample): Readonly<Record<string, AccountPart>> {
     this.endDay(sample)
-    const { turn } = this
-    const own = this.build(turn ?? sample, turn !== undefined)
+    const { dayEndSample } = this
+    const own = this.build(dayEndSample ?? sample, dayEndSample !== undefined)
     const changed = { ...own, rows: filterChanged(own.rows, this.flushed.rows), times: filterChanged(own.times, this.flushed.times) }
-    if (turn === undefined) return { [this.name]: changed }
-    const rest = { ...own, ...findRest(sample, turn), day: formatDay(sample.date), flushedAt: sample.date, closed: false, sample: ++this.samples }
+    if (dayEndSample === undefined) return { [this.name]: changed }
+    const rest = { ...own, ...findRemainder(sample, dayEndSample), day: formatDay(sample.date), flushedAt: sample.date, closed: false, sample: ++this.samples }
     return { [this.name]: changed, [this.getName(this.number + 1)]: rest }
   }
 
@@ -101,29 +101,29 @@
     const part = this.build(sample, closed)
     const written = await this.options.store.put(KIND, this.name, part, this.version, 'background')
     if (written.err) {
-      if (written.val.type === 'unknown') this.unsettled = [...this.unsettled, part]
-      if (written.val.type === 'conflict' || written.val.type === 'missing') await this.find(sample)
+      if (written.val.type === 'unknown') this.unconfirmed = [...this.unconfirmed, part]
+      if (written.val.type === 'conflict' || written.val.type === 'missing') await this.recover(sample)
       return false
     }
     const { rows, times, period, lead, highestRate, longestGap } = part
-    Object.assign(this, { version: written.val.version, flushed: { rows, times }, unsettled: [], last: sample, plan: { period, lead }, highestRate, longestGap })
-    if (part.closed) this.begin(sample)
+    Object.assign(this, { version: written.val.version, flushed: { rows, times }, unconfirmed: [], lastFlush: sample, plan: { period, lead }, highestRate, longestGap })
+    if (part.closed) this.beginPart(sample)
     return true
   }
 
   private build (sample: AccountSample, closed: boolean): AccountPart {
     const { askedOnline, date } = sample
-    const { rows, times } = findRest(sample, this.earlier)
-    const time = Math.max(1, date - this.last.date)
+    const { rows, times } = findRemainder(sample, this.earlier)
+    const time = Math.max(1, date - this.lastFlush.date)
     return {
       instance: this.options.instance,
       started: this.options.started,
       day: this.day,
       flushedAt: date,
       sample: ++this.samples,
-      ...this.next,
-      closed: closed || Object.keys(rows).length >= accountLimits.rows,
-      highestRate: Math.max(this.highestRate, (askedOnline - this.last.askedOnline) * 1_000 / time),
+      ...this.nextPlan,
+      closed: closed || Object.keys(rows).length >= accountLimits.maxRows,
+      highestRate: Math.max(this.highestRate, (askedOnline - this.lastFlush.askedOnline) * 1_000 / time),
       longestGap: Math.max(this.longestGap, time),
       rows,
       times
@@ -139,14 +139,14 @@
   }
 
   /** Goes on from the object as it is: a write whose reply was lost, or none. Says whether that is known. */
-  private async find (sample: AccountSample): Promise<boolean> {
+  private async recover (sample: AccountSample): Promise<boolean> {
     const found = await this.options.store.get<AccountPart>(KIND, this.name)
-    if (found.err) return found.val.type === 'missing' && await this.findFolded(sample)
+    if (found.err) return found.val.type === 'missing' && await this.recoverFolded(sample)
     const { rows, times, closed } = found.val.value
-    if (found.val.version > this.version) this.unsettled = []
+    if (found.val.version > this.version) this.unconfirmed = []
     this.version = found.val.version
     this.flushed = { rows, times }
-    if (closed) this.begin(sample)
+    if (closed) this.beginPart(sample)
     return true
   }
 
@@ -154,30 +154,30 @@
    * Where the object is gone. Its day says which state was folded: a write whose reply was lost may have been that, and
    * were it taken for lost, the next part would hold the same counts.
    */
-  private async findFolded (sample: AccountSample): Promise<boolean> {
-    if (this.unsettled.length > 0) {
+  private async recoverFolded (sample: AccountSample): Promise<boolean> {
+    if (this.unconfirmed.length > 0) {
       const day = await this.options.store.get<AccountDay>(DAY, `${this.day}.${findShard(this.name)}`)
       if (day.err && day.val.type !== 'missing') return false
       const folded = day.ok ? day.val.value.samples?.[this.name] : undefined
       if (folded === undefined && this.version === 0) return true
-      const { rows, times } = this.unsettled.find(({ sample }) => sample === folded) ?? this.flushed
+      const { rows, times } = this.unconfirmed.find(({ sample }) => sample === folded) ?? this.flushed
       this.flushed = { rows, times }
     }
-    this.begin(sample)
+    this.beginPart(sample)
     return true
   }
 
-  private begin ({ date }: AccountSample): void {
+  private beginPart ({ date }: AccountSample): void {
     this.earlier = { rows: addRows(this.earlier.rows, this.flushed.rows), times: addTimes(this.earlier.times, this.flushed.times) }
-    this.flushed = none
-    this.unsettled = []
+    this.flushed = emptyCounts
+    this.unconfirmed = []
     this.day = formatDay(date)
-    this.turn = undefined
+    this.dayEndSample = undefined
     this.number++
     this.version = 0
   }
 }
 
-function findRest (sample: Partial<Counted>, earlier: Partial<Counted>): Counted {
+function findRemainder (sample: Partial<PartCounts>, earlier: Partial<PartCounts>): PartCounts {
   return { rows: addRows(sample.rows ?? {}, earlier.rows ?? {}, -1), times: addTimes(sample.times ?? {}, earlier.times ?? {}, -1) }
 }
--- a/src/admission/busy-shares.ts
+++ b/src/admission/busy-shares.ts
@@ -1,11 +1,11 @@
 import { splitEntitlements } from './split-entitlements.js'
 
-interface Held { readonly caller: string, readonly service: string, readonly share: number }
+interface Holder { readonly caller: string, readonly service: string, readonly share: number }
 
 /** What a caller got of a busy minute, and what it was entitled to, ms of server time. */
-interface Shared { readonly caller: string, readonly service: string, readonly got: number, readonly entitled: number }
+interface Entitlement { readonly caller: string, readonly service: string, readonly got: number, readonly entitled: number }
 
-interface Had extends Held { got: number, waited: boolean }
+interface Usage extends Holder { got: number, waited: boolean }
 
 const MINUTE = 60_000
 
@@ -14,7 +14,7 @@
  * entitled it to. Minutes in which nobody waited say nothing about shares and are left out.
  */
 export class BusyShares {
-  private had = new Map<string, Had>()
+  private usage = new Map<string, Usage>()
   private begin: number
 
   constructor (now: number) {
@@ -22,30 +22,30 @@
   }
 
   /** A place was held for `time` ms. */
-  record (held: Held, time: number): void {
-    this.read(held).got += time
+  record (holder: Holder, time: number): void {
+    this.read(holder).got += time
   }
 
   /** A request had to wait. */
-  recordWait (held: Held): void {
-    this.read(held).waited = true
+  recordWait (holder: Holder): void {
+    this.read(holder).waited = true
   }
 
   /** What is to be counted of a minute that has ended. */
-  take (now: number): readonly Shared[] {
+  take (now: number): readonly Entitlement[] {
     if (now < this.begin + MINUTE) return []
-    const had = [...this.had.values()]
+    const usages = [...this.usage.values()]
     this.begin = now
-    this.had = new Map()
-    if (!had.some(({ waited }) => waited)) return []
-    const entitled = splitEntitlements(had)
-    return had.map(({ caller, service, got }, i) => ({ caller, service, got, entitled: entitled[i]! }))
+    this.usage = new Map()
+    if (!usages.some(({ waited }) => waited)) return []
+    const entitled = splitEntitlements(usages)
+    return usages.map(({ caller, service, got }, i) => ({ caller, service, got, entitled: entitled[i]! }))
   }
 
   /** A caller that asks for several services of a pool has its share once, and is counted under the first it asked for. */
-  private read (held: Held): Had {
-    const known = this.had.get(held.caller) ?? { ...held, got: 0, waited: false }
-    this.had.set(held.caller, known)
+  private read (holder: Holder): Usage {
+    const known = this.usage.get(holder.caller) ?? { ...holder, got: 0, waited: false }
+    this.usage.set(holder.caller, known)
     return known
   }
 }
--- a/src/admission/gate.ts
+++ b/src/admission/gate.ts
@@ -19,12 +19,12 @@
 import { PoolQueue } from './pool-queue.js'
 import type { Refusal } from './refusal.js'
 
-const LEAST_RETRY_AFTER = 1_000
+const MIN_RETRY_AFTER = 1_000
 const DEFAULT_SHARE = 1
 /** How often places that nothing told us of are looked for while requests wait, ms. */
-const LOOK_PERIOD = 20
+const RECHECK_PERIOD = 20
 /** How often it is looked whether a busy minute has ended, ms. */
-const COUNT_PERIOD = 10_000
+const SHARE_COUNT_PERIOD = 10_000
 
 type Answer = Result<ServerAnswer, Refusal>
 
@@ -37,7 +37,7 @@
 export class Gate implements Part {
   private readonly queues = new Map<string, PoolQueue>()
   private readonly busy = new Map<string, BusyShares>()
-  private readonly look: OnDemandTask
+  private readonly recheck: OnDemandTask
   private cancel = (): void => {}
 
   constructor (
@@ -51,16 +51,16 @@
     @inject(tokens.clock) private readonly clock: Clock,
     @inject(tokens.random) private readonly random: Random
   ) {
-    servers.subscribe(() => this.letIn())
-    this.look = new OnDemandTask({ clock, period: LOOK_PERIOD, run: () => this.letIn() })
+    servers.subscribe(() => this.admitWaiting())
+    this.recheck = new OnDemandTask({ clock, period: RECHECK_PERIOD, run: () => this.admitWaiting() })
   }
 
   async start (): Promise<void> {
-    this.cancel = this.clock.every(COUNT_PERIOD, () => this.countShares(this.clock.now()))
+    this.cancel = this.clock.every(SHARE_COUNT_PERIOD, () => this.countShares(this.clock.now()))
   }
 
   async stop (): Promise<void> {
-    this.look.stop()
+    this.recheck.stop()
     this.cancel()
     this.countShares(Infinity)
   }
@@ -99,10 +99,10 @@
       }
       const refuse = (cause: Refusal['cause'], retryAfter: number): void => settle(Err(this.refuse(cause, retryAfter)))
       const start = (cost: number): void => settle(this.run(queue, share, request, cost))
-      const hasPlace = (): boolean => this.dispatcher.hasCapacity(request)
-      const leave = queue.add({ caller, share, deadline, hasPlace, start, refuse }, asked)
+      const hasCapacity = (): boolean => this.dispatcher.hasCapacity(request)
+      const leave = queue.add({ caller, share, deadline, hasCapacity, start, refuse }, asked)
       if (settled) return
-      this.look.wake()
+      this.recheck.wake()
       this.timeline.record({ part: 'gate', what: 'waits', request: id, detail: `behind ${ahead} others for ${pool}` })
       const limit = Math.min(this.configuration.value.limits.queueWait, deadline - asked)
       stops.push(this.clock.after(limit, () => {
@@ -144,9 +144,9 @@
   }
 
   /** Whether requests wait still. */
-  private letIn (): boolean {
+  private admitWaiting (): boolean {
     for (const queue of this.queues.values()) {
-      while (queue.peek()?.hasPlace() === true) queue.take()
+      while (queue.peek()?.hasCapacity() === true) queue.take()
     }
     return [...this.queues.values()].some(({ size }) => size > 0)
   }
@@ -158,7 +158,7 @@
   }
 
   private refuse (cause: Refusal['cause'], retryAfter: number): Refusal {
-    return { cause, ran: 'not run', retryAfter: this.random.spread(Math.max(LEAST_RETRY_AFTER, retryAfter)), detail: 'every server is busy and the request would not be let in soon enough' }
+    return { cause, ran: 'not run', retryAfter: this.random.spread(Math.max(MIN_RETRY_AFTER, retryAfter)), detail: 'every server is busy and the request would not be let in soon enough' }
   }
 
   private readBusy (pool: string): BusyShares {
--- a/src/admission/merge-account.ts
+++ b/src/admission/merge-account.ts
@@ -35,20 +35,20 @@
     const isFolded = folded.has(findShard(name))
     if (!isFolded) times = addTimes(times, part.times)
     // The day has it already of a part that others have closed.
-    const lack = fresh.has(name) || (isFolded && part.closed) ? 0 : estimateMissing(part, gap)
-    if (lack === 0) continue
-    missing.push(lack)
+    const missed = fresh.has(name) || (isFolded && part.closed) ? 0 : estimateMissing(part, gap)
+    if (missed === 0) continue
+    missing.push(missed)
     runs.push(name)
   }
-  const asked = [...missing, ...counted.map(({ mayMiss }) => mayMiss)].reduce((sum, lack) => sum + lack, 0)
-  return { rows: keepCaller(mergeRows(rows), caller), times, mayMiss: { asked, runs }, whole: true }
+  const asked = [...missing, ...counted.map(({ mayMiss }) => mayMiss)].reduce((sum, missed) => sum + missed, 0)
+  return { rows: filterCaller(mergeRows(rows), caller), times, mayMiss: { asked, runs }, whole: true }
 }
 
 function findFolded (name: string, { day }: AccountPart, days: readonly AccountDay[]): ReadonlySet<number> {
   return new Set(days.filter(other => other.day === day && other.folded.includes(name)).map(({ shard }) => shard))
 }
 
-function keepCaller (rows: AccountRows, caller: string | undefined): AccountRows {
+function filterCaller (rows: AccountRows, caller: string | undefined): AccountRows {
   if (caller === undefined) return rows
   return Object.fromEntries(Object.entries(rows).filter(([key]) => key.startsWith(`${caller}/`)))
 }
--- a/src/admission/merge-told.ts
+++ b/src/admission/merge-reported.ts
@@ -3,7 +3,7 @@
 
 type Parts = Readonly<Record<string, AccountPart>>
 
-interface Told {
+interface MergedParts {
   /** The platform's parts with what daemons told in their place where that is newer. */
   readonly parts: Parts
   /** Parts that lack nothing. */
@@ -20,11 +20,11 @@
  * The question must be asked before the platform is read: of a run that begins a new part in between, what is told is
  * older, and what is read has all of it.
  */
-export function mergeTold (read: Parts, days: readonly AccountDay[], told: Parts): Told {
+export function mergeReported (read: Parts, days: readonly AccountDay[], reported: Parts): MergedParts {
   const folded = new Set(days.flatMap(day => day.folded))
   const parts: Record<string, AccountPart> = { ...read }
   const fresh = new Set<string>()
-  for (const [name, part] of Object.entries(told)) {
+  for (const [name, part] of Object.entries(reported)) {
     const known = read[name]
     if (known !== undefined && known.sample >= part.sample) fresh.add(name)
     else if (known?.closed === true || folded.has(name)) parts[name] = { ...(known ?? { ...part, rows: {}, times: {} }), closed: false }
--- a/src/admission/plan-flush.ts
+++ b/src/admission/plan-flush.ts
@@ -8,7 +8,7 @@
  * `lead` bounds how many online requests a daemon may be ahead of what the platform knows, and is what a kill can cost.
  */
 export function planFlush (daemons: number): FlushPlan {
-  const { period, unflushed, fleetWrites, leadRate } = accountLimits
-  const needed = Math.ceil(daemons / fleetWrites) * 1_000
-  return needed <= period ? { period, lead: unflushed } : { period: needed, lead: leadRate * needed / 1_000 }
+  const { flushPeriod, maxUnflushed, fleetWriteRate, daemonRequestRate } = accountLimits
+  const needed = Math.ceil(daemons / fleetWriteRate) * 1_000
+  return needed <= flushPeriod ? { period: flushPeriod, lead: maxUnflushed } : { period: needed, lead: daemonRequestRate * needed / 1_000 }
 }
--- a/src/admission/pool-queue.ts
+++ b/src/admission/pool-queue.ts
@@ -3,17 +3,17 @@
 import type { FairQueueState } from './fair-queue-state.js'
 import { stepFairQueue } from './step-fair-queue.js'
 
-const COST_GAIN = 0.05
+const COST_SMOOTHING = 0.05
 /** Expected time of a place before any was held, ms. */
-const FIRST_COST = 200
+const INITIAL_COST = 200
 
 /** A request that waits, as the queue knows it. Times in monotonic ms. */
-interface Waiting {
+interface WaitingRequest {
   readonly caller: string
   readonly share: number
   readonly deadline: number
   /** Whether there is a place for it now. */
-  readonly hasPlace: () => boolean
+  readonly hasCapacity: () => boolean
   /** Lets it in. */
   readonly start: (cost: number) => void
   readonly refuse: (cause: Refusal['cause'], retryAfter: number) => void
@@ -26,7 +26,7 @@
   readonly longestWait: () => number
 }
 
-type Held = Waiting & { readonly cost: number }
+type QueueEntry = WaitingRequest & { readonly cost: number }
 
 /**
  * The requests of one pool that wait for a place. One that wouldn't be let in before its deadline or within the
@@ -35,10 +35,10 @@
  * those of others out.
  */
 export class PoolQueue {
-  private state: FairQueueState = { virtual: 0, used: new Map(), waiting: [] }
-  private readonly held = new Map<number, Held>()
+  private state: FairQueueState = { virtualTime: 0, usedUntil: new Map(), waiting: [] }
+  private readonly entries = new Map<number, QueueEntry>()
   private inFlight = 0
-  private cost = FIRST_COST
+  private cost = INITIAL_COST
   private ids = 0
 
   constructor (private readonly options: PoolQueueOptions) {}
@@ -67,9 +67,9 @@
   }
 
   /** Puts the request in, or refuses it or another one at once. The function it gives back takes it out. */
-  add (waiting: Waiting, now: number): () => void {
+  add (waiting: WaitingRequest, now: number): () => void {
     const id = this.ids++
-    this.held.set(id, { ...waiting, cost: this.cost })
+    this.entries.set(id, { ...waiting, cost: this.cost })
     this.apply({ type: 'queued', id, caller: waiting.caller, share: waiting.share, cost: this.cost })
     const ahead = this.state.waiting.findIndex(other => other.id === id)
     const wait = this.estimateWait(ahead + 1)
@@ -79,18 +79,18 @@
   }
 
   /** The request to let in next. */
-  peek (): Waiting | undefined {
+  peek (): WaitingRequest | undefined {
     const first = this.state.waiting[0]
-    return first && this.held.get(first.id)
+    return first && this.entries.get(first.id)
   }
 
   /** Lets the first request in. */
   take (): void {
     const first = this.state.waiting[0]
     if (first === undefined) return
-    const { start, cost } = this.held.get(first.id)!
+    const { start, cost } = this.entries.get(first.id)!
     this.apply({ type: 'taken' })
-    this.held.delete(first.id)
+    this.entries.delete(first.id)
     this.inFlight++
     start(cost)
   }
@@ -98,15 +98,15 @@
   /** Corrects what a caller is charged once its place was held for `time` ms rather than `cost`. */
   settle (caller: string, share: number, { cost, time }: { readonly cost: number, readonly time: number }): void {
     this.inFlight--
-    this.cost += (time - this.cost) * COST_GAIN
+    this.cost += (time - this.cost) * COST_SMOOTHING
     this.apply({ type: 'held', caller, share, excess: time - cost })
   }
 
   /** Refuses a request that still waits. */
   refuse (id: number, cause: Refusal['cause']): void {
-    const held = this.held.get(id)
+    const entry = this.entries.get(id)
     this.drop(id)
-    held?.refuse(cause, this.estimateWait(this.size + 1))
+    entry?.refuse(cause, this.estimateWait(this.size + 1))
   }
 
   /** Time until that many more are let in, ms: places in use, each given back after its usual time (Little's law). */
@@ -115,10 +115,10 @@
   }
 
   private drop (id: number): void {
-    const held = this.held.get(id)
-    if (held === undefined) return
-    this.held.delete(id)
-    this.apply({ type: 'dropped', id, share: held.share, cost: held.cost })
+    const entry = this.entries.get(id)
+    if (entry === undefined) return
+    this.entries.delete(id)
+    this.apply({ type: 'dropped', id, share: entry.share, cost: entry.cost })
   }
 
   private apply (event: FairQueueEvent): void {
--- a/src/admission/pool-shares.ts
+++ b/src/admission/pool-shares.ts
@@ -19,16 +19,16 @@
 /** Added to the period for each daemon, ms, so that the one that splits sends the same bytes in any fleet. */
 const PERIOD_PER_DAEMON = 100
 /** Periods for which a pool counts as crowded after the last word of it. */
-const CROWDED = 4
+const CROWDED_PERIODS = 4
 /**
  * Periods for which what a daemon told, and a part that it was told, hold. A daemon that stands still for seconds is still a
  * member; had its word lapsed, all parts would be even until it tells again, and callers that use one daemon lose theirs
  * each time. This is longer than members need to find that one is gone, and then its word goes with it.
  */
-const HOLDS = 16
+const VALID_PERIODS = 16
 
 /** Places that a daemon keeps of a pool though its callers ask for none now. */
-const LEAST_PLACES = 2
+const MIN_SLOTS = 2
 
 interface DemandSource {
   /** Expected time of a place, ms. */
@@ -41,13 +41,13 @@
   readonly meter: DemandMeter
   queue?: DemandSource
   crowded: boolean
-  part?: PoolAllocation & { readonly until: number }
+  allocation?: PoolAllocation & { readonly until: number }
 }
 
 /** Another daemon's demand, at the one that splits the pool. */
-interface Told { readonly demand: PoolDemand, readonly at: number }
+interface ReportedDemand { readonly demand: PoolDemand, readonly at: number }
 
-interface Split { readonly told: Map<string, Told>, crowdedUntil: number }
+interface Split { readonly demands: Map<string, ReportedDemand>, crowdedUntil: number }
 
 /**
  * Makes shares hold over several daemons. Each gate is fair among the requests that come to it, and each daemon has an
@@ -61,8 +61,8 @@
 @scoped(Lifecycle.ContainerScoped)
 export class PoolShares implements Part {
   readonly extensions = [
-    peerHandlerPoint.of({ type: 'pool-demand', handle: (message, from) => { this.hear(message, from) } }),
-    peerHandlerPoint.of({ type: 'pool-part', handle: message => { this.take(message) } })
+    peerHandlerPoint.of({ type: 'pool-demand', handle: (message, from) => { this.receiveDemand(message, from) } }),
+    peerHandlerPoint.of({ type: 'pool-part', handle: message => { this.applyAllocation(message) } })
   ]
 
   private readonly pools = new Map<string, PoolState>()
@@ -99,8 +99,8 @@
 
   /** What the caller's share is multiplied by at this daemon. */
   getFactor (pool: string, caller: string): number {
-    const part = this.pools.get(pool)?.part
-    return part === undefined || part.until <= this.clock.now() ? 1 : part.factors.get(caller) ?? 1
+    const allocation = this.pools.get(pool)?.allocation
+    return allocation === undefined || allocation.until <= this.clock.now() ? 1 : allocation.factors.get(caller) ?? 1
   }
 
   private readPeriod (): number {
@@ -112,18 +112,18 @@
     const owners = this.members.owners()
     for (const [pool, state] of this.pools) {
       const demand = state.meter.read(now - this.last, state.queue?.holdTime ?? 0, state.queue?.countWaiting())
-      if (state.part !== undefined && state.part.until <= now) this.drop(pool)
-      if (owners.length > 1 && (state.crowded || state.part !== undefined)) this.tell(pool, demand, state.crowded)
+      if (state.allocation !== undefined && state.allocation.until <= now) this.dropAllocation(pool)
+      if (owners.length > 1 && (state.crowded || state.allocation !== undefined)) this.reportDemand(pool, demand, state.crowded)
       state.crowded = false
     }
     this.last = now
     for (const [pool, split] of this.splits) this.split(pool, split)
   }
 
-  private drop (pool: string): void {
+  private dropAllocation (pool: string): void {
     const state = this.pools.get(pool)
-    if (state?.part === undefined) return
-    state.part = undefined
+    if (state?.allocation === undefined) return
+    state.allocation = undefined
     this.servers.setFraction(pool, undefined)
   }
 
@@ -131,57 +131,57 @@
     return rankOwners(`shares/${pool}`, this.members.owners())[0]
   }
 
-  private tell (pool: string, demand: PoolDemand, crowded: boolean): void {
-    const message = { type: 'pool-demand', pool, crowded, demand: [...demand].map(([caller, { share, places }]) => [caller, share, Math.round(places * 100)]) }
+  private reportDemand (pool: string, demand: PoolDemand, crowded: boolean): void {
+    const message = { type: 'pool-demand', pool, crowded, demand: [...demand].map(([caller, { share, slots }]) => [caller, share, Math.round(slots * 100)]) }
     const to = this.findSplitter(pool)
-    if (to === this.settings.instance) this.hear(message, to)
+    if (to === this.settings.instance) this.receiveDemand(message, to)
     else if (to !== undefined) this.links.send(to, message, `pool-demand ${pool}`)
   }
 
-  private hear ({ pool, demand, crowded }: PeerMessage, from: string): void {
+  private receiveDemand ({ pool, demand, crowded }: PeerMessage, from: string): void {
     if (typeof pool !== 'string' || !Array.isArray(demand)) return
     const now = this.clock.now()
-    const split = this.splits.get(pool) ?? { told: new Map<string, Told>(), crowdedUntil: now }
+    const split = this.splits.get(pool) ?? { demands: new Map<string, ReportedDemand>(), crowdedUntil: now }
     this.splits.set(pool, split)
     const rows = demand as ReadonlyArray<readonly [string, number, number]>
-    split.told.set(from, { at: now, demand: new Map(rows.map(([caller, share, places]) => [caller, { share, places: places / 100 }])) })
-    if (crowded === true) split.crowdedUntil = now + CROWDED * this.readPeriod()
+    split.demands.set(from, { at: now, demand: new Map(rows.map(([caller, share, slots]) => [caller, { share, slots: slots / 100 }])) })
+    if (crowded === true) split.crowdedUntil = now + CROWDED_PERIODS * this.readPeriod()
   }
 
   /** Until every daemon has told, its part stays the even one: what isn't known may be all that it has. */
-  private split (pool: string, { told, crowdedUntil }: Split): void {
+  private split (pool: string, { demands, crowdedUntil }: Split): void {
     const now = this.clock.now()
     const owners = this.members.owners()
-    for (const [daemon, { at }] of told) if (now - at > HOLDS * this.readPeriod() || !owners.includes(daemon)) told.delete(daemon)
+    for (const [daemon, { at }] of demands) if (now - at > VALID_PERIODS * this.readPeriod() || !owners.includes(daemon)) demands.delete(daemon)
     const isSplitter = this.findSplitter(pool) === this.settings.instance
     if (now >= crowdedUntil || !isSplitter) {
       this.splits.delete(pool)
-      if (isSplitter) for (const daemon of owners) this.give(daemon, { type: 'pool-part', pool, over: true })
+      if (isSplitter) for (const daemon of owners) this.sendAllocation(daemon, { type: 'pool-part', pool, over: true })
       return
     }
-    const places = this.servers.sumLimits(pool)
-    const parts = places === undefined || told.size < owners.length ? undefined : splitPool(new Map([...told].map(([daemon, { demand }]) => [daemon, demand])), places)
+    const capacity = this.servers.sumLimits(pool)
+    const parts = capacity === undefined || demands.size < owners.length ? undefined : splitPool(new Map([...demands].map(([daemon, { demand }]) => [daemon, demand])), capacity)
     for (const daemon of owners) {
       const { fraction = 1 / owners.length, factors = new Map<string, number>() } = parts?.get(daemon) ?? {}
-      this.give(daemon, { type: 'pool-part', pool, fraction, factors: [...factors].map(([caller, factor]) => [caller, Math.round(factor * 1_000)]) })
+      this.sendAllocation(daemon, { type: 'pool-part', pool, fraction, factors: [...factors].map(([caller, factor]) => [caller, Math.round(factor * 1_000)]) })
     }
   }
 
-  private give (daemon: string, message: PeerMessage & { readonly pool: string }): void {
-    if (daemon === this.settings.instance) this.take(message)
+  private sendAllocation (daemon: string, message: PeerMessage & { readonly pool: string }): void {
+    if (daemon === this.settings.instance) this.applyAllocation(message)
     else this.links.send(daemon, message, `pool-part ${message.pool}`)
   }
 
-  private take ({ pool, fraction, factors, over }: PeerMessage): void {
+  private applyAllocation ({ pool, fraction, factors, over }: PeerMessage): void {
     if (typeof pool !== 'string') return
-    if (over === true) return this.drop(pool)
+    if (over === true) return this.dropAllocation(pool)
     if (typeof fraction !== 'number' || !Array.isArray(factors)) return
     const state = this.pools.get(pool) ?? { meter: new DemandMeter(), crowded: false }
     this.pools.set(pool, state)
     const rows = factors as ReadonlyArray<readonly [string, number]>
     // A caller that asks next to nothing here keeps a little of its share for when it asks again.
-    state.part = { fraction, until: this.clock.now() + HOLDS * this.readPeriod(), factors: new Map(rows.map(([caller, factor]) => [caller, Math.max(0.01, factor / 1_000)])) }
-    this.servers.setFraction(pool, Math.max(fraction, LEAST_PLACES / (this.servers.sumLimits(pool) ?? Infinity)))
+    state.allocation = { fraction, until: this.clock.now() + VALID_PERIODS * this.readPeriod(), factors: new Map(rows.map(([caller, factor]) => [caller, Math.max(0.01, factor / 1_000)])) }
+    this.servers.setFraction(pool, Math.max(fraction, MIN_SLOTS / (this.servers.sumLimits(pool) ?? Infinity)))
   }
 }
 
--- a/src/admission/step-fair-queue.ts
+++ b/src/admission/step-fair-queue.ts
@@ -3,7 +3,7 @@
 import type { FairQueueState } from './fair-queue-state.js'
 
 /** Callers above which those who are owed nothing are forgotten. */
-const KEPT_CALLERS = 1_000
+const MAX_TRACKED_CALLERS = 1_000
 /** Requests that a caller who was idle may have ahead of its share. */
 const BURST = 10
 
@@ -20,7 +20,7 @@
   switch (event.type) {
     case 'admitted': {
       const start = findStart(state, event)
-      return forget(use({ ...state, virtual: Math.max(state.virtual, start) }, event.caller, start + event.cost / event.share))
+      return forget(use({ ...state, virtualTime: Math.max(state.virtualTime, start) }, event.caller, start + event.cost / event.share))
     }
     case 'queued': {
       const { id, caller, share, cost } = event
@@ -32,21 +32,21 @@
     }
     case 'taken': {
       const [first, ...waiting] = state.waiting
-      return first === undefined ? state : forget({ ...state, waiting, virtual: Math.max(state.virtual, first.start) })
+      return first === undefined ? state : forget({ ...state, waiting, virtualTime: Math.max(state.virtualTime, first.start) })
     }
     case 'dropped': return drop(state, event)
-    case 'held': return use(state, event.caller, (state.used.get(event.caller) ?? state.virtual) + event.excess / event.share)
+    case 'held': return use(state, event.caller, (state.usedUntil.get(event.caller) ?? state.virtualTime) + event.excess / event.share)
     default: return failUnreachable(event)
   }
 }
 
 /** Arrivals come in clumps: without the burst, a caller well below its share would wait for its own second request. */
-function findStart ({ virtual, used }: FairQueueState, { caller, share, cost }: { readonly caller: string, readonly share: number, readonly cost: number }): number {
-  return Math.max(virtual - BURST * cost / share, used.get(caller) ?? 0)
+function findStart ({ virtualTime, usedUntil }: FairQueueState, { caller, share, cost }: { readonly caller: string, readonly share: number, readonly cost: number }): number {
+  return Math.max(virtualTime - BURST * cost / share, usedUntil.get(caller) ?? 0)
 }
 
 function use (state: FairQueueState, caller: string, until: number): FairQueueState {
-  return { ...state, used: new Map(state.used).set(caller, until) }
+  return { ...state, usedUntil: new Map(state.usedUntil).set(caller, until) }
 }
 
 /** Gives its time back to its caller, whose later requests move up by as much. */
@@ -57,11 +57,11 @@
   const waiting = state.waiting.filter(other => other.id !== id)
     .map(other => other.caller === caller && other.start > dropped.start ? { ...other, start: other.start - cost / share } : other)
     .sort((a, b) => a.start - b.start)
-  return use({ ...state, waiting }, caller, state.used.get(caller)! - cost / share)
+  return use({ ...state, waiting }, caller, state.usedUntil.get(caller)! - cost / share)
 }
 
 /** A caller whose share isn't used up to now starts now whether or not it is known. */
 function forget (state: FairQueueState): FairQueueState {
-  if (state.used.size <= KEPT_CALLERS) return state
-  return { ...state, used: new Map([...state.used].filter(([, until]) => until > state.virtual)) }
+  if (state.usedUntil.size <= MAX_TRACKED_CALLERS) return state
+  return { ...state, usedUntil: new Map([...state.usedUntil].filter(([, until]) => until > state.virtualTime)) }
 }
--- a/src/peers/fleet-broadcast.ts
+++ b/src/peers/fleet-broadcast.ts
@@ -5,14 +5,14 @@
 import { tokens } from '../kernel/tokens.js'
 import { findDomainLeader } from './find-domain-leader.js'
 import { isSmallFleet } from './is-small-fleet.js'
-import { listHubs } from './list-hubs.js'
+import { listDomainLeaders } from './list-domain-leaders.js'
 import { listOthers } from './list-others.js'
 import { Members } from './members.js'
 import { peerHandlerPoint } from './peer-handler-point.js'
 import { PeerLinks } from './peer-links.js'
 import type { PeerMessage } from './peer-message.js'
 
-const CAST = 'cast'
+const MESSAGE_TYPE = 'cast'
 
 /**
  * Tells all daemons something. A small fleet is told directly. In a larger one the message goes to the hub of the sender's
@@ -21,7 +21,7 @@
  */
 @scoped(Lifecycle.ContainerScoped)
 export class FleetBroadcast implements Part {
-  readonly extensions = [peerHandlerPoint.of({ type: CAST, handle: ({ m, relayed }, from) => this.passOn(m as PeerMessage, relayed === true, from) })]
+  readonly extensions = [peerHandlerPoint.of({ type: MESSAGE_TYPE, handle: ({ m, relayed }, from) => this.relay(m as PeerMessage, relayed === true, from) })]
 
   constructor (
     @inject(tokens.settings) private readonly settings: Settings,
@@ -34,19 +34,19 @@
     const members = this.members.all()
     const { instance, failureDomain } = this.settings
     if (isSmallFleet(members)) return this.sendAll(listOthers(members, instance), message, topic)
-    const hub = findDomainLeader(members, failureDomain)
-    if (hub === instance) this.passOn(message, false, instance)
-    else if (hub !== undefined) this.links.send(hub, { type: CAST, m: message }, `${CAST} ${topic}`)
+    const leader = findDomainLeader(members, failureDomain)
+    if (leader === instance) this.relay(message, false, instance)
+    else if (leader !== undefined) this.links.send(leader, { type: MESSAGE_TYPE, m: message }, `${MESSAGE_TYPE} ${topic}`)
   }
 
-  private passOn (message: PeerMessage, relayed: boolean, from: string): void {
+  private relay (message: PeerMessage, relayed: boolean, from: string): void {
     if (typeof message?.type !== 'string') return
     const members = this.members.all()
     const { instance, failureDomain } = this.settings
     if (from !== instance) this.links.dispatch(message, from)
-    if (!relayed) for (const hub of listHubs(members, failureDomain)) this.links.send(hub, { type: CAST, m: message, relayed: true })
-    const near = members.filter(({ instance: other }) => other.failureDomain === failureDomain)
-    this.sendAll(listOthers(near, instance).filter(name => name !== from), message)
+    if (!relayed) for (const leader of listDomainLeaders(members, failureDomain)) this.links.send(leader, { type: MESSAGE_TYPE, m: message, relayed: true })
+    const domainMembers = members.filter(({ instance: other }) => other.failureDomain === failureDomain)
+    this.sendAll(listOthers(domainMembers, instance).filter(name => name !== from), message)
   }
 
   private sendAll (names: readonly string[], message: PeerMessage, topic?: string): void {
--- a/src/peers/frame-reader.ts
+++ b/src/peers/frame-reader.ts
@@ -1,29 +1,29 @@
 import { Err, Ok, type Result } from 'ts-results'
 
 const LENGTH_BYTES = 4
-const LIMIT = 1_000_000
+const MAX_FRAME_BYTES = 1_000_000
 
 /**
  * Cuts a byte stream into the bodies of its frames. A frame over `limit` bytes is an error as soon as its length is
  * known, so that a peer can't make us hold more than that; the connection is then of no further use.
  */
 export class FrameReader {
-  private held = Buffer.alloc(0)
+  private buffered = Buffer.alloc(0)
 
-  constructor (public limit = LIMIT) {}
+  constructor (public limit = MAX_FRAME_BYTES) {}
 
   push (bytes: Uint8Array): void {
-    this.held = this.held.length === 0 ? Buffer.from(bytes) : Buffer.concat([this.held, bytes])
+    this.buffered = this.buffered.length === 0 ? Buffer.from(bytes) : Buffer.concat([this.buffered, bytes])
   }
 
   /** The next whole body; undefined until more bytes have come. */
   take (): Result<Buffer | undefined, string> {
-    if (this.held.length < LENGTH_BYTES) return Ok(undefined)
-    const length = this.held.readUInt32BE(0)
+    if (this.buffered.length < LENGTH_BYTES) return Ok(undefined)
+    const length = this.buffered.readUInt32BE(0)
     if (length > this.limit) return Err(`frame of ${length} bytes, over the limit of ${this.limit}`)
-    if (this.held.length < LENGTH_BYTES + length) return Ok(undefined)
-    const body = this.held.subarray(LENGTH_BYTES, LENGTH_BYTES + length)
-    this.held = this.held.subarray(LENGTH_BYTES + length)
+    if (this.buffered.length < LENGTH_BYTES + length) return Ok(undefined)
+    const body = this.buffered.subarray(LENGTH_BYTES, LENGTH_BYTES + length)
+    this.buffered = this.buffered.subarray(LENGTH_BYTES + length)
     return Ok(body)
   }
 }
--- a/src/peers/frame-times.ts
+++ b/src/peers/frame-time-codec.ts
@@ -4,7 +4,7 @@
  * Sends the times of one direction's frames as the difference from the frame before, in whole microseconds: frames of a
  * session come whole and in order, so that both ends know the last one. A time is rounded up, never to before its event.
  */
-export class FrameTimes {
+export class FrameTimeCodec {
   private last = 0
 
   /** What to send for `time` in ms. */
--- a/src/peers/link-watch.ts
+++ b/src/peers/link-watch.ts
@@ -15,36 +15,36 @@
  * next message opens a new one, which works. Whether the peer itself is dead is for the membership to say.
  */
 export class LinkWatch {
-  private received: number
-  private used: number
-  private pinged: number | undefined
+  private receivedAt: number
+  private usedAt: number
+  private pingedAt: number | undefined
   private readonly options: Required<LinkWatchOptions>
 
   constructor (now: number, { probeAfter = 1_000, answerWithin = 1_500, idleAfter = 60_000 }: LinkWatchOptions = {}) {
     this.options = { probeAfter, answerWithin, idleAfter }
-    this.received = this.used = now
+    this.receivedAt = this.usedAt = now
   }
 
   onReceive (now: number): void {
-    this.received = this.used = now
-    this.pinged = undefined
+    this.receivedAt = this.usedAt = now
+    this.pingedAt = undefined
   }
 
   /** Whether a ping must go with what is sent now. */
   onSend (now: number): boolean {
-    this.used = now
-    if (this.pinged !== undefined || now - this.received < this.options.probeAfter) return false
-    this.pinged = now
+    this.usedAt = now
+    if (this.pingedAt !== undefined || now - this.receivedAt < this.options.probeAfter) return false
+    this.pingedAt = now
     return true
   }
 
   /** How long nothing has come or gone. */
-  countIdle (now: number): number {
-    return now - this.used
+  getIdleTime (now: number): number {
+    return now - this.usedAt
   }
 
   check (now: number): 'open' | 'silent' | 'idle' {
-    if (this.pinged !== undefined && now - this.pinged >= this.options.answerWithin) return 'silent'
-    return now - this.used >= this.options.idleAfter ? 'idle' : 'open'
+    if (this.pingedAt !== undefined && now - this.pingedAt >= this.options.answerWithin) return 'silent'
+    return now - this.usedAt >= this.options.idleAfter ? 'idle' : 'open'
   }
 }
--- a/src/peers/link.ts
+++ b/src/peers/link.ts
@@ -5,11 +5,11 @@
 import type { Session } from './session.js'
 
 /** Bytes that may wait in the socket before messages wait in the queue, where newer ones replace them. */
-const SOCKET_LIMIT = 65_536
+const MAX_SOCKET_BUFFER = 65_536
 
 /** What a link tells the one that holds it. */
 interface LinkListener {
-  onProven (link: Link): void
+  onAuthenticated (link: Link): void
   onMessage (message: PeerMessage, time: number, from: string): void
   onClose (link: Link, reason: string): void
   onDrop (count: number): void
@@ -42,8 +42,8 @@
   }
 
   /** How long nothing has come or gone, ms. */
-  get idleFor (): number {
-    return this.watch.countIdle(this.listener.now())
+  get idleTime (): number {
+    return this.watch.getIdleTime(this.listener.now())
   }
 
   open (): void {
@@ -71,7 +71,7 @@
   }
 
   private flush (): void {
-    while (this.queue.length > 0 && this.peer !== undefined && this.socket.writableLength < SOCKET_LIMIT) {
+    while (this.queue.length > 0 && this.peer !== undefined && this.socket.writableLength < MAX_SOCKET_BUFFER) {
       this.write({ m: this.queue.take()! })
     }
   }
@@ -92,7 +92,7 @@
     for (const event of events.val) {
       switch (event.type) {
         case 'send': this.socket.write(event.bytes); break
-        case 'proven': this.listener.onProven(this); this.flush(); break
+        case 'proven': this.listener.onAuthenticated(this); this.flush(); break
         case 'value': this.handle(event.value)
       }
     }
--- a/src/peers/member-queries.ts
+++ b/src/peers/member-queries.ts
@@ -8,7 +8,7 @@
 
 type Fields = Readonly<Record<string, unknown>>
 
-interface MemberQuestionsOptions<T> {
+interface MemberQueriesOptions<T> {
   readonly links: Pick<PeerLinks, 'send'>
   readonly clock: Clock
   /** Types of the two messages. */
@@ -24,7 +24,7 @@
   readonly read: (message: PeerMessage, from: string) => T
 }
 
-interface Told<T> {
+interface QueryResult<T> {
   /** By daemon, in the order in which they came. */
   readonly answers: ReadonlyMap<string, T>
   /** Daemons that didn't answer in time. */
@@ -39,7 +39,7 @@
   readonly extensions: readonly Extension[]
   private readonly pending: PendingCalls<readonly [string, T]>
 
-  constructor (private readonly options: MemberQuestionsOptions<T>) {
+  constructor (private readonly options: MemberQueriesOptions<T>) {
     this.pending = new PendingCalls(options.clock)
     this.extensions = [
       peerHandlerPoint.of({ type: options.requestType, handle: (message, from) => { void this.answer(message, from) } }),
@@ -48,9 +48,9 @@
   }
 
   /** Asks each of `names` once; resolves when all have answered or had their time. */
-  async ask (names: readonly string[]): Promise<Told<T>> {
-    const { answers, silent } = await askEach(names, async name => await this.askOne(name), this.options.concurrency ?? names.length)
-    return { answers: new Map(answers), unresponsive: silent }
+  async ask (names: readonly string[]): Promise<QueryResult<T>> {
+    const { answers, unresponsive } = await askEach(names, async name => await this.sendQuery(name), this.options.concurrency ?? names.length)
+    return { answers: new Map(answers), unresponsive }
   }
 
   /** Takes those asked that haven't answered for silent. */
@@ -58,7 +58,7 @@
     this.pending.stop()
   }
 
-  private async askOne (from: string): Promise<readonly [string, T] | undefined> {
+  private async sendQuery (from: string): Promise<readonly [string, T] | undefined> {
     const { links, requestType: type, timeout } = this.options
     return await this.pending.open(from, timeout, id => links.send(from, { type, id }))
   }
--- a/src/peers/members.ts
+++ b/src/peers/members.ts
@@ -17,7 +17,7 @@
 import { InstanceList } from '../store/instance-list.js'
 import type { Member } from './member.js'
 import { PeerAddresses } from './peer-addresses.js'
-import { listOwnerNames } from './list-owner-names.js'
+import { listEligibleOwners } from './list-eligible-owners.js'
 import { peerHandlerPoint } from './peer-handler-point.js'
 import { PeerLinks } from './peer-links.js'
 import { readInstance } from './read-instance.js'
@@ -26,9 +26,9 @@
 /** A quarter of a second is the longest that the membership takes; each tick wakes the process. */
 const TICK_PERIOD = 250
 /** How often a leave looks whether all know, ms. */
-const AWARE_PERIOD = 20
-const LEAVE_REPEAT = 500
-const LEAVE_BOUND = 5_000
+const LEAVE_CHECK_PERIOD = 20
+const LEAVE_RESEND_PERIOD = 500
+const LEAVE_TIMEOUT = 5_000
 
 /** The daemons of the fleet as this one sees them, by probes among themselves; the platform's list only seeds it. */
 @scoped(Lifecycle.ContainerScoped)
@@ -38,7 +38,7 @@
     handle: ({ m }, from) => {
       const message = m as MembershipMessage
       this.step({ type: 'message', from, message })
-      if (message.type === 'ack' && message.n >= this.leaveSequence) this.unaware.delete(from)
+      if (message.type === 'ack' && message.n >= this.leaveSequence) this.unacknowledged.delete(from)
     }
   })]
 
@@ -52,7 +52,7 @@
   private lastOwners = ''
   private leaveSequence = Infinity
   /** Members that may not know yet that this one leaves. */
-  private unaware = new Set<string>()
+  private unacknowledged = new Set<string>()
 
   constructor (
     @inject(tokens.settings) private readonly settings: Settings,
@@ -71,13 +71,13 @@
   async start (): Promise<void> {
     this.state = createMembership({ name: this.settings.instance, incarnation: this.run, data: this.readSelf(), now: this.clock.now() })
     this.pauses.subscribe(() => this.step({ type: 'paused', incarnation: Math.max(this.clock.date(), this.record.incarnation + 1) }))
-    this.list.subscribe(() => this.takeList())
-    this.links.subscribeEnds(peer => { void this.checkEnded(peer) })
-    this.takeList()
+    this.list.subscribe(() => this.applyInstanceList())
+    this.links.subscribeClosed(peer => { void this.checkProcessEnded(peer) })
+    this.applyInstanceList()
     this.cancel = this.clock.every(TICK_PERIOD, () => {
       this.pauses.check()
       this.step({ type: 'tick' })
-      this.checkOwners()
+      this.checkOwnerChange()
     })
   }
 
@@ -103,7 +103,7 @@
   owners (region?: string): readonly string[] {
     this.pauses.check()
     if (!this.state.settled) return []
-    return listOwnerNames(this.state.members.values(), { self: this.settings.instance, now: this.clock.now(), region })
+    return listEligibleOwners(this.state.members.values(), { self: this.settings.instance, now: this.clock.now(), region })
   }
 
   /** `listener` is called after each change; the function it gives back ends that. */
@@ -125,23 +125,23 @@
    */
   async leave (): Promise<void> {
     this.leaveSequence = this.state.sequence + 1
-    this.unaware = new Set(this.all().filter(({ state }) => state === 'alive').map(({ instance }) => instance.name))
-    this.unaware.delete(this.settings.instance)
-    const end = this.clock.now() + LEAVE_BOUND
+    this.unacknowledged = new Set(this.all().filter(({ state }) => state === 'alive').map(({ instance }) => instance.name))
+    this.unacknowledged.delete(this.settings.instance)
+    const end = this.clock.now() + LEAVE_TIMEOUT
     do {
       this.step({ type: 'leave' })
-      await this.waitForAware(LEAVE_REPEAT)
-    } while (this.listUnaware().length > 0 && this.clock.now() < end)
+      await this.waitForAcknowledgements(LEAVE_RESEND_PERIOD)
+    } while (this.listUnacknowledged().length > 0 && this.clock.now() < end)
   }
 
-  private async waitForAware (time: number): Promise<void> {
+  private async waitForAcknowledgements (time: number): Promise<void> {
     await new Promise<void>(resolve => {
       const end = (): void => {
         stopPoll()
         stopWait()
         resolve()
       }
-      const stopPoll = this.clock.every(AWARE_PERIOD, () => this.listUnaware().length === 0 && end())
+      const stopPoll = this.clock.every(LEAVE_CHECK_PERIOD, () => this.listUnacknowledged().length === 0 && end())
       const stopWait = this.clock.after(time, end)
     })
   }
@@ -150,22 +150,22 @@
    * Finds out at once that a process has ended. By silence alone that takes some seconds, in which callers are sent to it, its jobs
    * rest, and its slots at servers count as taken though its connections to them are closed.
    */
-  private async checkEnded (name: string): Promise<void> {
+  private async checkProcessEnded (name: string): Promise<void> {
     const { incarnation, status, data } = this.state.members.get(name) ?? {}
     if (incarnation === undefined || status === 'dead' || data === undefined) return
     if (await isAddressGone({ host: String(data.host), port: Number(data.peerPort) })) this.step({ type: 'ended', name, incarnation })
   }
 
   /** One that a list named stops to count as time passes, without a change of its record. */
-  private checkOwners (): void {
+  private checkOwnerChange (): void {
     const owners = this.owners().join()
     const changed = owners !== this.lastOwners
     this.lastOwners = owners
     if (changed) for (const listener of this.listeners) listener()
   }
 
-  private listUnaware (): readonly string[] {
-    return [...this.unaware].filter(name => this.state.members.get(name)?.status === 'alive')
+  private listUnacknowledged (): readonly string[] {
+    return [...this.unacknowledged].filter(name => this.state.members.get(name)?.status === 'alive')
   }
 
   private get record (): MemberRecord {
@@ -177,7 +177,7 @@
     return { host: address ?? listen.host, port: this.port, peerPort: this.links.port, ready: Number(this.ready), run: this.run, failureDomain, region }
   }
 
-  private takeList (): void {
+  private applyInstanceList (): void {
     const entries = this.list.all.filter(({ pool, state, peerPort }) => pool === ENTRY_POOL && state === 'live' && peerPort !== undefined)
     const members = entries.map(({ name, host, port, peerPort, failureDomain, region }) => ({ name, data: { host, port, peerPort: peerPort!, ready: 1, failureDomain, region } }))
     this.step({ type: 'listed', members })
--- a/src/peers/peer-addresses.ts
+++ b/src/peers/peer-addresses.ts
@@ -7,23 +7,23 @@
 /** Where daemons take frames: what they said themselves, or else the platform's list, which lags. */
 @scoped(Lifecycle.ContainerScoped)
 export class PeerAddresses {
-  private readonly told = new Map<string, PeerAddress>()
+  private readonly reported = new Map<string, PeerAddress>()
 
   constructor (@inject(InstanceList) private readonly list: InstanceList) {}
 
   find (instance: string): PeerAddress | undefined {
-    const told = this.told.get(instance)
-    if (told !== undefined) return told
+    const reported = this.reported.get(instance)
+    if (reported !== undefined) return reported
     const listed = this.list.all.find(({ name }) => name === instance)
     return listed?.peerPort === undefined ? undefined : { host: listed.host, port: listed.peerPort }
   }
 
   update (instance: string, address: PeerAddress): void {
-    this.told.set(instance, address)
+    this.reported.set(instance, address)
   }
 
   remove (instance: string): void {
-    this.told.delete(instance)
+    this.reported.delete(instance)
   }
 }
 
--- a/src/peers/peer-links.ts
+++ b/src/peers/peer-links.ts
@@ -21,11 +21,11 @@
 const CHECK_PERIOD = 250
 const HANDSHAKE_TIMEOUT = 2_000
 /** Connections whose peer hasn't proved itself yet. */
-const MAX_UNPROVEN = 512
+const MAX_UNAUTHENTICATED = 512
 /** A link on which something came or went within this was in use, ms. */
-const IN_USE = 5_000
+const RECENT_USE = 5_000
 /** Why this daemon itself closes a link. */
-const OWN_REASONS: readonly string[] = ['idle', 'silent', 'shut down', 'no handshake']
+const LOCAL_REASONS: readonly string[] = ['idle', 'silent', 'shut down', 'no handshake']
 
 /**
  * Frames between daemons over TCP. One link serves both directions; it is opened when first needed and closed when
@@ -37,10 +37,10 @@
   port = 0
   private readonly server: Server
   /** By peer: the link that sends, proven or being opened. */
-  private readonly sending = new Map<string, Link>()
-  private readonly unproven = new Map<Link, number>()
+  private readonly sendLinks = new Map<string, Link>()
+  private readonly unauthenticated = new Map<Link, number>()
   private readonly all = new Set<Link>()
-  private readonly endListeners = new Set<(peer: string) => void>()
+  private readonly closeListeners = new Set<(peer: string) => void>()
   private cancel = (): void => {}
 
   constructor (
@@ -50,10 +50,10 @@
     @inject(Timeline) private readonly timeline: Timeline,
     @inject(PeerAddresses) private readonly addresses: PeerAddresses,
     @inject(Metrics) private readonly metrics: Metrics,
-    @inject(Extensions) private readonly added: Extensions
+    @inject(Extensions) private readonly registeredExtensions: Extensions
   ) {
     this.server = createServer(socket => {
-      if (this.unproven.size >= MAX_UNPROVEN) socket.destroy()
+      if (this.unauthenticated.size >= MAX_UNAUTHENTICATED) socket.destroy()
       else this.add(new Link(socket, this.createSession(), this.listener))
     })
     metrics.gauge('peer_links', () => this.all.size)
@@ -75,13 +75,13 @@
    * it waits for a slow peer, a newer message of the same `topic` takes its place.
    */
   send (to: string, message: PeerMessage, topic?: string): void {
-    const link = this.sending.get(to) ?? this.open(to)
+    const link = this.sendLinks.get(to) ?? this.open(to)
     link?.send(message, topic)
   }
 
   /** `listener` hears of each peer that closed a link which was in use. */
-  subscribeEnds (listener: (peer: string) => void): void {
-    this.endListeners.add(listener)
+  subscribeClosed (listener: (peer: string) => void): void {
+    this.closeListeners.add(listener)
   }
 
   /**
@@ -89,7 +89,7 @@
    * was sent last may be lost.
    */
   findSession (to: string): Pick<Session, 'agreedVersion'> | undefined {
-    const link = this.sending.get(to)
+    const link = this.sendLinks.get(to)
     return link?.peer === undefined ? undefined : link.session
   }
 
@@ -97,7 +97,7 @@
     const address = this.addresses.find(to)
     if (address === undefined) return undefined
     const link = new Link(connect(address.port, address.host), this.createSession(to), this.listener)
-    this.sending.set(to, link)
+    this.sendLinks.set(to, link)
     this.add(link)
     link.open()
     return link
@@ -105,7 +105,7 @@
 
   private add (link: Link): void {
     this.all.add(link)
-    this.unproven.set(link, this.clock.now())
+    this.unauthenticated.set(link, this.clock.now())
   }
 
   private createSession (to?: string): Session {
@@ -115,15 +115,15 @@
   private check (): void {
     const now = this.clock.now()
     for (const link of [...this.all]) link.check(now)
-    for (const [link, since] of [...this.unproven]) {
+    for (const [link, since] of [...this.unauthenticated]) {
       if (now - since >= HANDSHAKE_TIMEOUT) link.close('no handshake')
     }
   }
 
   private readonly listener = {
-    onProven: (link: Link): void => {
-      this.unproven.delete(link)
-      if (this.sending.get(link.peer!)?.peer === undefined) this.sending.set(link.peer!, link)
+    onAuthenticated: (link: Link): void => {
+      this.unauthenticated.delete(link)
+      if (this.sendLinks.get(link.peer!)?.peer === undefined) this.sendLinks.set(link.peer!, link)
     },
     onMessage: (message: PeerMessage, time: number, from: string): void => {
       this.timeline.observe(time)
@@ -141,7 +141,7 @@
    * not the daemon.
    */
   dispatch (message: PeerMessage, from: string): void {
-    for (const handler of this.added.collect(peerHandlerPoint)) {
+    for (const handler of this.registeredExtensions.collect(peerHandlerPoint)) {
       if (handler.type !== message.type) continue
       try {
         handler.handle(message, from)
@@ -153,9 +153,9 @@
 
   private remove (link: Link, reason: string): void {
     this.all.delete(link)
-    this.unproven.delete(link)
-    for (const [peer, known] of this.sending) if (known === link) this.sending.delete(peer)
-    if (link.peer !== undefined && link.idleFor < IN_USE && !OWN_REASONS.includes(reason)) for (const listener of this.endListeners) listener(link.peer)
+    this.unauthenticated.delete(link)
+    for (const [peer, known] of this.sendLinks) if (known === link) this.sendLinks.delete(peer)
+    if (link.peer !== undefined && link.idleTime < RECENT_USE && !LOCAL_REASONS.includes(reason)) for (const listener of this.closeListeners) listener(link.peer)
     if (reason === 'silent') this.metrics.count('peer_links_silent_total')
     const usual = reason === 'idle' || reason === 'closed by the peer' || reason === 'shut down'
     this.log.write(usual ? 'debug' : 'warn', 'peers', 'closed a connection', { peer: link.peer, reason })
--- a/src/peers/session-keys.ts
+++ b/src/peers/session-keys.ts
@@ -22,11 +22,11 @@
  */
 export function buildSessionKeys (secret: string, { opener, acceptor, openerNonce, acceptorNonce }: SessionParties): SessionKeys {
   const names = JSON.stringify([opener, acceptor])
-  const hashFor = (use: string): Buffer => createHmac('sha256', secret).update(use).update('\0').update(openerNonce).update(acceptorNonce).update(names).digest()
+  const deriveKey = (use: string): Buffer => createHmac('sha256', secret).update(use).update('\0').update(openerNonce).update(acceptorNonce).update(names).digest()
   return {
-    openerProof: hashFor('proof of the opener'),
-    acceptorProof: hashFor('proof of the acceptor'),
-    openerKey: hashFor('frames of the opener'),
-    acceptorKey: hashFor('frames of the acceptor')
+    openerProof: deriveKey('proof of the opener'),
+    acceptorProof: deriveKey('proof of the acceptor'),
+    openerKey: deriveKey('frames of the opener'),
+    acceptorKey: deriveKey('frames of the acceptor')
   }
 }
--- a/src/peers/session.ts
+++ b/src/peers/session.ts
@@ -3,22 +3,22 @@
 import { encodeFrame } from './encode-frame.js'
 import type { FrameCodec } from './frame-codec.js'
 import { FrameReader } from './frame-reader.js'
-import { FrameSeal } from './frame-seal.js'
-import { FrameTimes } from './frame-times.js'
+import { FrameAuthenticator } from './frame-authenticator.js'
+import { FrameTimeCodec } from './frame-time-codec.js'
 import { plainCodec } from './plain-codec.js'
 import { buildSessionKeys } from './session-keys.js'
 import type { SessionEvent } from './session-event.js'
 import { shortCodec } from './short-codec.js'
 
 /** From this version on frames have short names, short seals and differences of times. */
-const SHORT_VERSION = 3
-const PROTOCOL_VERSION = SHORT_VERSION
+const COMPACT_VERSION = 3
+const PROTOCOL_VERSION = COMPACT_VERSION
 /** A newer version speaks this one too, to peers that say it; what it adds to frames is ignored. */
 const OLDEST_VERSION = 2
 const NONCE_BYTES = 16
 /** The longest frame before the peer has proved itself. */
-const HANDSHAKE_LIMIT = 256
-const FRAME_LIMIT = 1_000_000
+const MAX_HANDSHAKE_BYTES = 256
+const MAX_FRAME_BYTES = 1_000_000
 
 type Value = Readonly<Record<string, unknown>>
 
@@ -44,11 +44,11 @@
   peer: string | undefined
   /** The version that both ends speak, once they have said theirs. */
   agreedVersion = 0
-  private readonly reader = new FrameReader(HANDSHAKE_LIMIT)
-  private outgoing: FrameSeal | undefined
-  private incoming: FrameSeal | undefined
+  private readonly reader = new FrameReader(MAX_HANDSHAKE_BYTES)
+  private outgoing: FrameAuthenticator | undefined
+  private incoming: FrameAuthenticator | undefined
   private codec: FrameCodec = plainCodec
-  private times: { readonly out: FrameTimes, readonly in: FrameTimes } | undefined
+  private times: { readonly out: FrameTimeCodec, readonly in: FrameTimeCodec } | undefined
   private expected: { readonly peer: string, readonly proof: Buffer } | undefined
 
   constructor (private readonly options: SessionOptions) {}
@@ -62,7 +62,7 @@
   seal (value: Value): Buffer {
     const { t } = value
     const body = this.codec.encode(this.times === undefined || typeof t !== 'number' ? value : { ...value, t: this.times.out.encode(t) })
-    return encodeFrame(this.outgoing!.create(body), body)
+    return encodeFrame(this.outgoing!.createTag(body), body)
   }
 
   receive (bytes: Uint8Array): Result<readonly SessionEvent[], string> {
@@ -72,14 +72,14 @@
       const frame = this.reader.take()
       if (frame.err) return frame
       if (frame.val === undefined) return Ok(events)
-      const step = this.peer === undefined ? this.handleHandshake(frame.val) : this.openFrame(frame.val)
+      const step = this.peer === undefined ? this.handleHandshake(frame.val) : this.verifyFrame(frame.val)
       if (step.err) return step
       events.push(...step.val)
     }
   }
 
-  private openFrame (frame: Buffer): Result<readonly SessionEvent[], string> {
-    const body = this.incoming!.open(frame)
+  private verifyFrame (frame: Buffer): Result<readonly SessionEvent[], string> {
+    const body = this.incoming!.verify(frame)
     if (body === undefined) return Err('a frame has the wrong seal')
     return this.codec.decode(body).map(value => {
       const { t } = value
@@ -90,7 +90,7 @@
   private handleHandshake (frame: Buffer): Result<readonly SessionEvent[], string> {
     const decoded = plainCodec.decode(frame)
     if (decoded.err) return decoded
-    if (this.expected !== undefined) return this.settleProof(decoded.val)
+    if (this.expected !== undefined) return this.verifyProof(decoded.val)
     const { v, from, nonce } = decoded.val
     if (typeof v !== 'number' || v < OLDEST_VERSION) return Err(`the peer speaks version ${String(v)}, we need ${OLDEST_VERSION}`)
     if (typeof from !== 'string' || !(nonce instanceof Uint8Array) || nonce.length !== NONCE_BYTES) return Err('a handshake lacks its name or nonce')
@@ -104,12 +104,12 @@
   /** Both ends go on in the older of their versions. */
   private startFrames (peerVersion: number, outgoing: Uint8Array, incoming: Uint8Array): void {
     this.agreedVersion = Math.min(this.version, peerVersion)
-    const short = this.agreedVersion >= SHORT_VERSION
-    this.outgoing = new FrameSeal(outgoing, short ? 8 : 16)
-    this.incoming = new FrameSeal(incoming, short ? 8 : 16)
+    const short = this.agreedVersion >= COMPACT_VERSION
+    this.outgoing = new FrameAuthenticator(outgoing, short ? 8 : 16)
+    this.incoming = new FrameAuthenticator(incoming, short ? 8 : 16)
     if (!short) return
     this.codec = shortCodec
-    this.times = { out: new FrameTimes(), in: new FrameTimes() }
+    this.times = { out: new FrameTimeCodec(), in: new FrameTimeCodec() }
   }
 
   private acceptHello (from: string, nonce: Uint8Array, version: number): Result<readonly SessionEvent[], string> {
@@ -125,24 +125,24 @@
     const { self, secret, nonce: own, to } = this.options
     if (from !== to) return Err(`${from} answers at the address of ${String(to)}`)
     const keys = buildSessionKeys(secret, { opener: self, acceptor: from, openerNonce: own, acceptorNonce: nonce })
-    if (!isSame(proof, keys.acceptorProof)) return Err('the peer key is wrong')
+    if (!isProofValid(proof, keys.acceptorProof)) return Err('the peer key is wrong')
     this.startFrames(v as number, keys.openerKey, keys.acceptorKey)
     const sent: SessionEvent = { type: 'send', bytes: encodeFrame(plainCodec.encode({ proof: keys.openerProof })) }
-    return Ok([sent, this.recordPeer(from)])
+    return Ok([sent, this.authenticatePeer(from)])
   }
 
-  private settleProof ({ proof }: Value): Result<readonly SessionEvent[], string> {
-    if (!isSame(proof, this.expected!.proof)) return Err('the peer key is wrong')
-    return Ok([this.recordPeer(this.expected!.peer)])
+  private verifyProof ({ proof }: Value): Result<readonly SessionEvent[], string> {
+    if (!isProofValid(proof, this.expected!.proof)) return Err('the peer key is wrong')
+    return Ok([this.authenticatePeer(this.expected!.peer)])
   }
 
-  private recordPeer (peer: string): SessionEvent {
+  private authenticatePeer (peer: string): SessionEvent {
     this.peer = peer
-    this.reader.limit = FRAME_LIMIT
+    this.reader.limit = MAX_FRAME_BYTES
     return { type: 'proven', peer }
   }
 }
 
-function isSame (proof: unknown, expected: Buffer): boolean {
+function isProofValid (proof: unknown, expected: Buffer): boolean {
   return proof instanceof Uint8Array && proof.length === expected.length && timingSafeEqual(proof, expected)
 }
--- a/test/admission/account-fold.test.ts
+++ b/test/admission/account-fold.test.ts
@@ -55,7 +55,7 @@
 }
 
 /** The store as one folder sees it, which stands still at call `n` until `between` is over. */
-function standStill (store: MemoryStore, n: number, between: () => Promise<void>): ObjectStore {
+function pauseAt (store: MemoryStore, n: number, between: () => Promise<void>): ObjectStore {
   let calls = 0
   return new Proxy(store, {
     get: (target, key) => async (...args: unknown[]): Promise<unknown> => {
@@ -102,7 +102,7 @@
   for (let n = 0; n < CALLS; n++) {
     const scene = new Scene()
     await scene.work()
-    await fold(standStill(scene.store, n, async () => {
+    await fold(pauseAt(scene.store, n, async () => {
       await scene.work()
       await fold(scene.store)
       await scene.work()
--- a/test/admission/account-told.test.ts
+++ b/test/admission/account-reported.test.ts
@@ -8,7 +8,7 @@
 import { askEach } from '../../src/peers/ask-each.js'
 import { mergeAccount } from '../../src/admission/merge-account.js'
 import { mergePart } from '../../src/admission/merge-part.js'
-import { mergeTold } from '../../src/admission/merge-told.js'
+import { mergeReported } from '../../src/admission/merge-reported.js'
 import { readAll } from '../../src/admission/read-all.js'
 import { MemoryStore } from '../../stand-ins/platform/memory-store.js'
 
@@ -47,11 +47,11 @@
     return this.writer.peek(this.account.readSample(this.date))
   }
 
-  async read (told: Readonly<Record<string, AccountPart>>, between: () => Promise<void>): Promise<{ readonly asked: number, readonly exact: boolean }> {
+  async read (reported: Readonly<Record<string, AccountPart>>, between: () => Promise<void>): Promise<{ readonly asked: number, readonly exact: boolean }> {
     const parts = Object.fromEntries((await readAll<AccountPart>(this.store, 'account')).unwrap().map(({ name, value }) => [name, value]))
     await between()
     const days = (await readAll<AccountDay>(this.store, 'account-day')).unwrap().map(({ value }) => value)
-    const merged = mergeTold(parts, days, told)
+    const merged = mergeReported(parts, days, reported)
     const { rows, mayMiss } = mergeAccount({ ...merged, days })
     return { asked: Object.values(rows).reduce((sum, { asked }) => sum + asked, 0), exact: mayMiss.runs.length === 0 }
   }
@@ -64,11 +64,11 @@
   await t.notThrowsAsync(async () => await fc.assert(fc.asyncProperty(fc.array(step, { maxLength: 15 }), fc.array(step, { maxLength: 8 }), fc.array(step, { maxLength: 4 }), async (before, during, later) => {
     const run = new Run()
     for (const each of before) await run.step(each)
-    const told = run.peek()
-    const atQuestion = run.account.askedOnline
+    const reported = run.peek()
+    const askedAtQuery = run.account.askedOnline
     for (const each of during) await run.step(each)
-    const { asked, exact } = await run.read(told, async () => { for (const each of later) await run.step(each) })
-    return asked <= run.account.askedOnline && (!exact || asked >= atQuestion)
+    const { asked, exact } = await run.read(reported, async () => { for (const each of later) await run.step(each) })
+    return asked <= run.account.askedOnline && (!exact || asked >= askedAtQuery)
   }), { seed: 11, numRuns: 3_000 }))
 })
 
@@ -106,9 +106,9 @@
     now--
     return Number(name.slice(6)) % 6 === 0 ? undefined : name
   }
-  const { answers, silent } = await askEach(names, ask, 16)
+  const { answers, unresponsive } = await askEach(names, ask, 16)
   t.deepEqual([...asked].sort(), [...names].sort())
   t.is(most, 16)
-  t.is(answers.length + silent.length, 380)
-  t.is(silent.length, 64)
+  t.is(answers.length + unresponsive.length, 380)
+  t.is(unresponsive.length, 64)
 })
--- a/test/admission/gates-model.test.ts
+++ b/test/admission/gates-model.test.ts
@@ -69,16 +69,16 @@
     meter.read(500, 20)
   }
   const many = meter.read(500, 20)
-  const heavy = new Map([['heavy', { share: 1, places: 200 }]])
+  const heavy = new Map([['heavy', { share: 1, slots: 200 }]])
   t.is(many.size, 17)
   const part = splitPool(new Map([['a', many], ['b', heavy], ['c', heavy]]), 40).get('a')!
-  t.true(part.fraction * 40 >= [...many.values()].reduce((sum, { places }) => sum + places, 0), String(part.fraction))
+  t.true(part.fraction * 40 >= [...many.values()].reduce((sum, { slots }) => sum + slots, 0), String(part.fraction))
 })
 
-const demand = fc.dictionary(fc.constantFrom('a', 'b', 'c', ''), fc.record({ share: fc.constant(1), places: fc.double({ min: 0, max: 100, noNaN: true }) }))
+const demand = fc.dictionary(fc.constantFrom('a', 'b', 'c', ''), fc.record({ share: fc.constant(1), slots: fc.double({ min: 0, max: 100, noNaN: true }) }))
 test('parts add up to the whole pool, whatever is asked', t => {
-  t.notThrows(() => fc.assert(fc.property(fc.array(demand, { minLength: 1, maxLength: 6 }), fc.integer({ min: 1, max: 200 }), (demands, places) => {
-    const parts = splitPool(new Map(demands.map((each, i) => [String(i), new Map(Object.entries(each))])), places)
+  t.notThrows(() => fc.assert(fc.property(fc.array(demand, { minLength: 1, maxLength: 6 }), fc.integer({ min: 1, max: 200 }), (demands, capacity) => {
+    const parts = splitPool(new Map(demands.map((each, i) => [String(i), new Map(Object.entries(each))])), capacity)
     const sum = [...parts.values()].reduce((sum, { fraction }) => sum + fraction, 0)
     return Math.abs(sum - 1) < 1e-6 && [...parts.values()].every(({ fraction }) => fraction >= 0)
   }), { seed: 7, numRuns: 300 }))
--- a/test/admission/pool-shares.test.ts
+++ b/test/admission/pool-shares.test.ts
@@ -9,7 +9,7 @@
 import type { Servers } from '../../src/routing/servers.js'
 import { VirtualClock } from '../helpers/virtual-clock.js'
 
-const PLACES = 100
+const CAPACITY = 100
 const POOL = 'engines'
 
 class Daemons {
@@ -18,7 +18,7 @@
   readonly shares = new Map<string, PoolShares>()
   names: readonly string[]
   /** Daemons that stand still: nothing comes from them or reaches them. */
-  readonly frozen = new Set<string>()
+  readonly paused = new Set<string>()
   sent = 0
 
   constructor (...names: readonly string[]) {
@@ -40,13 +40,13 @@
   private create (name: string): PoolShares {
     const members = { owners: () => this.names } as unknown as Members
     const links = { send: (to: string, message: PeerMessage) => this.deliver(name, to, message) } as unknown as PeerLinks
-    const servers = { sumLimits: () => PLACES, setFraction: (_: string, fraction: number | undefined) => this.fractions.set(name, fraction) } as unknown as Servers
+    const servers = { sumLimits: () => CAPACITY, setFraction: (_: string, fraction: number | undefined) => this.fractions.set(name, fraction) } as unknown as Servers
     return new PoolShares(members, links, servers, { instance: name } as unknown as Settings, this.clock)
   }
 
   private deliver (from: string, to: string, message: PeerMessage): void {
     this.sent++
-    if (this.frozen.has(from) || this.frozen.has(to)) return
+    if (this.paused.has(from) || this.paused.has(to)) return
     for (const { value } of this.shares.get(to)!.extensions) {
       const handler = value as PeerHandler
       if (handler.type === message.type) handler.handle(message, from)
@@ -79,13 +79,13 @@
 // the first would get two thirds.
 test('a daemon that stands still for seconds costs nobody its part', async t => {
   const busy = { a: { caller: 'x', rate: 400, waits: true }, b: { caller: 'y', rate: 200, waits: true }, c: { caller: 'y', rate: 200, waits: true } }
-  for (const frozen of Object.keys(busy)) {
+  for (const paused of Object.keys(busy)) {
     const daemons = new Daemons('a', 'b', 'c')
     await daemons.ask(12, busy)
     const before = new Map(daemons.fractions)
-    daemons.frozen.add(frozen)
+    daemons.paused.add(paused)
     await daemons.ask(6, busy)
-    for (const [name, fraction] of before) t.true(name === frozen || Math.abs(daemons.fractions.get(name)! - fraction!) < 0.05, `${frozen} frozen: ${name} ${fraction} then ${daemons.fractions.get(name)}`)
+    for (const [name, fraction] of before) t.true(name === paused || Math.abs(daemons.fractions.get(name)! - fraction!) < 0.05, `${paused} frozen: ${name} ${fraction} then ${daemons.fractions.get(name)}`)
   }
 })
 
--- a/test/admission/step-fair-queue.test.ts
+++ b/test/admission/step-fair-queue.test.ts
@@ -4,7 +4,7 @@
 import type { FairQueueState } from '../../src/admission/fair-queue-state.js'
 import { stepFairQueue } from '../../src/admission/step-fair-queue.js'
 
-const EMPTY: FairQueueState = { virtual: 0, used: new Map(), waiting: [] }
+const EMPTY: FairQueueState = { virtualTime: 0, usedUntil: new Map(), waiting: [] }
 const SHARES: Readonly<Record<string, number>> = { a: 1, b: 2, c: 5 }
 
 const caller = fc.constantFrom('a', 'b', 'c')
@@ -41,5 +41,5 @@
   const two = queue(queue(EMPTY, 0), 1)
   const after = stepFairQueue(two, { type: 'dropped', id: 0, share: 1, cost: 100 })
   t.is(after.waiting[0]!.start, two.waiting[0]!.start)
-  t.is(after.used.get('a'), queue(EMPTY, 0).used.get('a'))
+  t.is(after.usedUntil.get('a'), queue(EMPTY, 0).usedUntil.get('a'))
 })
--- a/test/helpers/simulate-gate.ts
+++ b/test/helpers/simulate-gate.ts
@@ -38,7 +38,7 @@
       got[name]!.answered++
       got[name]!.held += time
       queue.settle(name, share, { cost, time })
-      while (queue.peek()?.hasPlace() === true) queue.take()
+      while (queue.peek()?.hasCapacity() === true) queue.take()
     })
   }
   const arrive = (caller: SimulatedCaller): void => {
@@ -53,7 +53,7 @@
       got[name]!.refused++
       got[name]!.refusedAfter.push(now - asked)
     }
-    const leave = queue.add({ caller: name, share, deadline: now + 10_000, hasPlace: () => busy < places, refuse, start: cost => { settled = true; start(caller, asked, cost) } }, now)
+    const leave = queue.add({ caller: name, share, deadline: now + 10_000, hasCapacity: () => busy < places, refuse, start: cost => { settled = true; start(caller, asked, cost) } }, now)
     plan(now + longestWait, () => {
       if (settled) return
       leave()
--- a/test/helpers/simulate-gates.ts
+++ b/test/helpers/simulate-gates.ts
@@ -84,7 +84,7 @@
       got[name]!.refused++
       got[name]!.refusedAfter.push(now - asked)
     }
-    const leave = queue.add({ caller: name, share, deadline: now + 10_000, hasPlace: () => hasPlace(daemon), refuse, start: cost => { settled = true; start(daemon, name, share, asked, cost) } }, now)
+    const leave = queue.add({ caller: name, share, deadline: now + 10_000, hasCapacity: () => hasPlace(daemon), refuse, start: cost => { settled = true; start(daemon, name, share, asked, cost) } }, now)
     plan(now + longestWait, () => {
       if (settled) return
       leave()
--- a/test/peers/links.test.ts
+++ b/test/peers/links.test.ts
@@ -35,12 +35,12 @@
   const clock = new VirtualClock()
   const b = await createLinks('b', clock)
   const sockets: Socket[] = []
-  const relay = createServer(near => {
-    const far = connect(b.links.port, '127.0.0.1')
-    sockets.push(near, far)
-    near.pipe(far).pipe(near)
-    near.on('error', () => {})
-    far.on('error', () => {})
+  const relay = createServer(inbound => {
+    const outbound = connect(b.links.port, '127.0.0.1')
+    sockets.push(inbound, outbound)
+    inbound.pipe(outbound).pipe(inbound)
+    inbound.on('error', () => {})
+    outbound.on('error', () => {})
   }).listen(0, '127.0.0.1')
   await once(relay, 'listening')
   const a = await createLinks('a', clock)
@@ -53,13 +53,13 @@
   a.links.send('b', { type: 'test', n: 1 })
   t.is((await b.next()).n, 1)
   for (const socket of sockets) socket.unpipe().pause()
-  const silent = sockets.length
+  const openBefore = sockets.length
   await clock.advance(2_000)
   a.links.send('b', { type: 'test', n: 2 })
   await clock.advance(2_000)
   a.links.send('b', { type: 'test', n: 3 })
   t.is((await b.next()).n, 3)
-  t.true(sockets.length > silent)
+  t.true(sockets.length > openBefore)
 })
 
 test('a peer with another key gets no message through', async t => {
--- a/test/peers/list-owner-names.test.ts
+++ b/test/peers/list-eligible-owners.test.ts
@@ -1,6 +1,6 @@
 import test from 'ava'
 import type { MemberRecord } from '../../src/coordination/member-record.js'
-import { listOwnerNames } from '../../src/peers/list-owner-names.js'
+import { listEligibleOwners } from '../../src/peers/list-eligible-owners.js'
 
 const base: MemberRecord = { name: 'd1', incarnation: 5, status: 'alive', leaving: false, data: { region: 'r' }, since: 0 }
 
@@ -21,6 +21,6 @@
 // has shown that it is gone.
 for (const { name, record, counts } of cases) {
   test(`who may own: ${name}`, t => {
-    t.is(listOwnerNames([{ ...base, ...record }], { self: 'd0', now: 10_000, region: 'r' }).length, counts ? 1 : 0)
+    t.is(listEligibleOwners([{ ...base, ...record }], { self: 'd0', now: 10_000, region: 'r' }).length, counts ? 1 : 0)
   })
 }
--- a/test/peers/member-queries.test.ts
+++ b/test/peers/member-queries.test.ts
@@ -7,54 +7,54 @@
 
 interface Sent { readonly to: string, readonly message: PeerMessage }
 
-/** One daemon's questions; `tell` is what it answers itself. */
-function createQuestions ({ concurrency, tell = async () => ({ value: 7 }) }: { concurrency?: number, tell?: () => Promise<{ value: number } | undefined> } = {}) {
+/** One daemon's queries; `tell` is what it answers itself. */
+function createQueries ({ concurrency, handle = async () => ({ value: 7 }) }: { concurrency?: number, handle?: () => Promise<{ value: number } | undefined> } = {}) {
   const clock = new VirtualClock()
   const sent: Sent[] = []
   const links = { send: (to: string, message: PeerMessage) => { sent.push({ to, message }) } }
-  const questions = new MemberQueries({ links, clock, requestType: 'question', answerType: 'answer', timeout: 1_000, concurrency, handle: tell, read: ({ value }) => Number(value) })
-  const handlers = questions.extensions.map(({ value }) => value as PeerHandler)
-  const hear = (message: PeerMessage, from: string): void => handlers.find(({ type }) => type === message.type)?.handle(message, from)
-  const answer = (to: string, value: number, from = to): void => hear({ type: 'answer', id: sent.find(other => other.to === to)!.message.id, value }, from)
-  return { clock, sent, questions, hear, answer }
+  const queries = new MemberQueries({ links, clock, requestType: 'question', answerType: 'answer', timeout: 1_000, concurrency, handle, read: ({ value }) => Number(value) })
+  const handlers = queries.extensions.map(({ value }) => value as PeerHandler)
+  const deliver = (message: PeerMessage, from: string): void => handlers.find(({ type }) => type === message.type)?.handle(message, from)
+  const answer = (to: string, value: number, from = to): void => deliver({ type: 'answer', id: sent.find(other => other.to === to)!.message.id, value }, from)
+  return { clock, sent, queries, deliver, answer }
 }
 
-type Scene = ReturnType<typeof createQuestions>
+type Scene = ReturnType<typeof createQueries>
 
-const CASES: Readonly<Record<string, { readonly run: (scene: Scene) => Promise<void> | void, readonly answers: readonly (readonly [string, number])[], readonly silent: readonly string[], readonly after: number }>> = {
-  'all answer': { run: ({ answer }) => { answer('b', 2); answer('a', 1) }, answers: [['b', 2], ['a', 1]], silent: [], after: 0 },
-  'one stays silent': { run: ({ answer }) => answer('b', 2), answers: [['b', 2]], silent: ['a'], after: 1_000 },
-  'nobody answers': { run: () => {}, answers: [], silent: ['a', 'b'], after: 1_000 },
-  'an answer comes twice': { run: ({ answer }) => { answer('a', 1); answer('a', 5); answer('b', 2) }, answers: [['a', 1], ['b', 2]], silent: [], after: 0 },
-  'another answers in its place': { run: ({ answer }) => { answer('a', 9, 'c'); answer('b', 2) }, answers: [['b', 2]], silent: ['a'], after: 1_000 },
-  'an answer comes too late': { run: async ({ clock, answer }) => { answer('b', 2); await clock.advance(1_000); answer('a', 1) }, answers: [['b', 2]], silent: ['a'], after: 1_000 },
-  'an answer to nothing that was asked': { run: ({ hear, answer }) => { hear({ type: 'answer', id: 99, value: 3 }, 'a'); answer('a', 1); answer('b', 2) }, answers: [['a', 1], ['b', 2]], silent: [], after: 0 },
-  'the asker stops': { run: ({ questions, answer }) => { answer('a', 1); questions.stop() }, answers: [['a', 1]], silent: ['b'], after: 0 }
+const CASES: Readonly<Record<string, { readonly run: (scene: Scene) => Promise<void> | void, readonly answers: readonly (readonly [string, number])[], readonly unresponsive: readonly string[], readonly after: number }>> = {
+  'all answer': { run: ({ answer }) => { answer('b', 2); answer('a', 1) }, answers: [['b', 2], ['a', 1]], unresponsive: [], after: 0 },
+  'one stays silent': { run: ({ answer }) => answer('b', 2), answers: [['b', 2]], unresponsive: ['a'], after: 1_000 },
+  'nobody answers': { run: () => {}, answers: [], unresponsive: ['a', 'b'], after: 1_000 },
+  'an answer comes twice': { run: ({ answer }) => { answer('a', 1); answer('a', 5); answer('b', 2) }, answers: [['a', 1], ['b', 2]], unresponsive: [], after: 0 },
+  'another answers in its place': { run: ({ answer }) => { answer('a', 9, 'c'); answer('b', 2) }, answers: [['b', 2]], unresponsive: ['a'], after: 1_000 },
+  'an answer comes too late': { run: async ({ clock, answer }) => { answer('b', 2); await clock.advance(1_000); answer('a', 1) }, answers: [['b', 2]], unresponsive: ['a'], after: 1_000 },
+  'an answer to nothing that was asked': { run: ({ deliver, answer }) => { deliver({ type: 'answer', id: 99, value: 3 }, 'a'); answer('a', 1); answer('b', 2) }, answers: [['a', 1], ['b', 2]], unresponsive: [], after: 0 },
+  'the asker stops': { run: ({ queries, answer }) => { answer('a', 1); queries.stop() }, answers: [['a', 1]], unresponsive: ['b'], after: 0 }
 }
 
-for (const [name, { run, answers, silent, after }] of Object.entries(CASES)) {
+for (const [name, { run, answers, unresponsive, after }] of Object.entries(CASES)) {
   test(`a question to two members: ${name}`, async t => {
-    const scene = createQuestions()
+    const scene = createQueries()
     let ended: number | undefined
-    const asked = scene.questions.ask(['b', 'a']).finally(() => { ended = scene.clock.now() })
+    const asked = scene.queries.ask(['b', 'a']).finally(() => { ended = scene.clock.now() })
     await scene.clock.advance(0)
     t.deepEqual(scene.sent.map(({ to, message: { type } }) => [to, type]), [['b', 'question'], ['a', 'question']])
     await run(scene)
     await scene.clock.advance(1_000)
-    const told = await asked
-    t.deepEqual([[...told.answers], told.unresponsive, ended], [answers, silent, after])
+    const result = await asked
+    t.deepEqual([[...result.answers], result.unresponsive, ended], [answers, unresponsive, after])
   })
 }
 
 test('nobody to ask: the answer is there at once', async t => {
-  const { questions, sent } = createQuestions()
-  t.deepEqual(await questions.ask([]), { answers: new Map(), silent: [] })
+  const { queries, sent } = createQueries()
+  t.deepEqual(await queries.ask([]), { answers: new Map(), unresponsive: [] })
   t.is(sent.length, 0)
 })
 
 test('as many are asked at once as may be, the next when one has answered or had its time', async t => {
-  const { clock, questions, sent, answer } = createQuestions({ concurrency: 1 })
-  const asked = questions.ask(['a', 'b', 'c'])
+  const { clock, queries, sent, answer } = createQueries({ concurrency: 1 })
+  const asked = queries.ask(['a', 'b', 'c'])
   await clock.advance(0)
   t.deepEqual(sent.map(({ to }) => to), ['a'])
   answer('a', 1)
@@ -63,17 +63,17 @@
   await clock.advance(1_000)
   t.deepEqual(sent.map(({ to }) => to), ['a', 'b', 'c'])
   answer('c', 3)
-  const { answers, unresponsive: silent } = await asked
-  t.deepEqual([[...answers], silent], [[['a', 1], ['c', 3]], ['b']])
+  const { answers, unresponsive } = await asked
+  t.deepEqual([[...answers], unresponsive], [[['a', 1], ['c', 3]], ['b']])
 })
 
 test('a daemon answers under the number of the question, or stays silent', async t => {
-  const telling = createQuestions()
-  telling.hear({ type: 'question', id: 4 }, 'a')
-  await telling.clock.advance(0)
-  t.deepEqual(telling.sent, [{ to: 'a', message: { type: 'answer', id: 4, value: 7 } }])
-  const silent = createQuestions({ tell: async () => undefined })
-  silent.hear({ type: 'question', id: 4 }, 'a')
-  await silent.clock.advance(0)
-  t.deepEqual(silent.sent, [])
+  const answering = createQueries()
+  answering.deliver({ type: 'question', id: 4 }, 'a')
+  await answering.clock.advance(0)
+  t.deepEqual(answering.sent, [{ to: 'a', message: { type: 'answer', id: 4, value: 7 } }])
+  const refusing = createQueries({ handle: async () => undefined })
+  refusing.deliver({ type: 'question', id: 4 }, 'a')
+  await refusing.clock.advance(0)
+  t.deepEqual(refusing.sent, [])
 })
--- a/test/peers/members-whole.test.ts
+++ b/test/peers/members-whole.test.ts
@@ -10,7 +10,7 @@
   t.teardown(async () => await fleet.stop())
   for (const n of [0, 1, 2]) await fleet.addDaemon(`entry-${n}`, `domain-${n}`)
   await fleet.apply(readFolder('demo/folder').unwrap())
-  const [asked, killed, frozen] = fleet.daemons
+  const [asked, killed, paused] = fleet.daemons
   const urls = async (): Promise<readonly string[]> => {
     const { addresses } = await (await request(`${fleet.url(asked!)}/v1/addresses`)).body.json() as { addresses: { url: string }[] }
     return addresses.map(({ url }) => url).sort()
@@ -19,13 +19,13 @@
     const expected = daemons.map(daemon => fleet.url(daemon)).sort().join()
     await fleet.waitUntil(async () => (await urls()).join() === expected)
   }
-  await becomes(asked!, killed!, frozen!)
+  await becomes(asked!, killed!, paused!)
   killed!.child.signal('SIGKILL')
-  await becomes(asked!, frozen!)
+  await becomes(asked!, paused!)
   await fleet.setPlatformFaults({ outage: 'refused' })
-  frozen!.child.signal('SIGSTOP')
+  paused!.child.signal('SIGSTOP')
   await becomes(asked!)
-  frozen!.child.signal('SIGCONT')
-  await becomes(asked!, frozen!)
+  paused!.child.signal('SIGCONT')
+  await becomes(asked!, paused!)
   t.pass()
 })
--- a/test/peers/session.test.ts
+++ b/test/peers/session.test.ts
@@ -16,16 +16,16 @@
 }
 
 /** Both ends after a handshake, and what the opener sent in it. */
-function shakeHands (opener = createOpener(), acceptor = createAcceptor()) {
+function completeHandshake (opener = createOpener(), acceptor = createAcceptor()) {
   const hello = opener.open()
   const answer = readSent(acceptor.receive(hello).unwrap())
   const proof = readSent(opener.receive(answer).unwrap())
-  return { opener, acceptor, hello, proof, entered: acceptor.receive(proof) }
+  return { opener, acceptor, hello, proof, accepted: acceptor.receive(proof) }
 }
 
 test('both ends know each other after the handshake, and pass values both ways', t => {
-  const { opener, acceptor, entered } = shakeHands()
-  t.deepEqual(entered.val, [{ type: 'proven', peer: 'a' }])
+  const { opener, acceptor, accepted } = completeHandshake()
+  t.deepEqual(accepted.val, [{ type: 'proven', peer: 'a' }])
   t.is(opener.peer, 'b')
   t.deepEqual(acceptor.receive(opener.seal({ n: 1 })).val, [{ type: 'value', value: { n: 1 } }])
   t.deepEqual(opener.receive(acceptor.seal({ n: 2 })).val, [{ type: 'value', value: { n: 2 } }])
@@ -34,7 +34,7 @@
 // Somebody who recorded a handshake plays it back. The thin version's proof was a hash of the name alone, so that
 // the recording opened a connection for good.
 test('a recorded handshake opens nothing', t => {
-  const { hello, proof } = shakeHands()
+  const { hello, proof } = completeHandshake()
   const acceptor = createAcceptor({ byte: 3 })
   acceptor.receive(hello)
   t.is(acceptor.receive(proof).val, 'the peer key is wrong')
@@ -60,7 +60,7 @@
     changed: first => change(first)
   }
   for (const [name, alter] of Object.entries(cases)) {
-    const { opener, acceptor } = shakeHands()
+    const { opener, acceptor } = completeHandshake()
     t.is(acceptor.receive(alter(opener.seal({ n: 1 }), opener.seal({ n: 2 }))).val, 'a frame has the wrong seal', name)
   }
 })
@@ -77,7 +77,7 @@
   const value = fc.dictionary(field, fc.oneof(fc.integer(), fc.string(), fc.dictionary(field, fc.integer())))
   const frame = fc.tuple(value, fc.double({ min: 1e12, max: 2e12, noNaN: true })).map(([value, time]) => ({ ...value, t: time }))
   fc.assert(fc.property(fc.array(frame, { maxLength: 5 }), fc.constantFrom([2, 2], [2, 3], [3, 2], [3, 3]), (frames, [one, other]) => {
-    const { opener, acceptor } = shakeHands(createOpener({ version: one }), createAcceptor({ version: other }))
+    const { opener, acceptor } = completeHandshake(createOpener({ version: one }), createAcceptor({ version: other }))
     for (const [from, to] of [[opener, acceptor], [acceptor, opener]] as const) {
       for (const sent of frames) {
         const [event] = to.receive(from.seal(sent)).unwrap()
@@ -90,11 +90,11 @@
 })
 
 test('a frame of online news takes less than two thirds of what it took', t => {
-  const news = (time: number): Readonly<Record<string, unknown>> => ({ t: time, m: { type: 'online', number: 1_764_800_000_000, counts: { 'engine-17': 1 } } })
+  const buildLoadMessage = (time: number): Readonly<Record<string, unknown>> => ({ t: time, m: { type: 'online', number: 1_764_800_000_000, counts: { 'engine-17': 1 } } })
   const [before, after] = [2, 3].map(version => {
-    const { opener } = shakeHands(createOpener({ version }))
-    opener.seal(news(1_764_800_000_000.25))
-    return opener.seal(news(1_764_800_000_040.25)).length
+    const { opener } = completeHandshake(createOpener({ version }))
+    opener.seal(buildLoadMessage(1_764_800_000_000.25))
+    return opener.seal(buildLoadMessage(1_764_800_000_040.25)).length
   })
   t.log(`${before} bytes before, ${after} now`)
   t.true(after! < before! * 2 / 3)
@@ -107,11 +107,11 @@
 test('any split of the bytes gives the same values', t => {
   const values = fc.array(fc.dictionary(fc.string(), fc.oneof(fc.integer(), fc.string(), fc.boolean())), { maxLength: 8 })
   fc.assert(fc.property(values, fc.array(fc.integer({ min: 1, max: 40 }), { minLength: 1 }), (sent, cuts) => {
-    const { opener, acceptor } = shakeHands()
+    const { opener, acceptor } = completeHandshake()
     const bytes = Buffer.concat(sent.map(value => opener.seal(value)))
     const pieces: Buffer[] = []
     for (let at = 0, i = 0; at < bytes.length; at += cuts[i++ % cuts.length]!) pieces.push(bytes.subarray(at, at + cuts[i % cuts.length]!))
-    return readValues(acceptor, pieces) === readValues(shakeHands().acceptor, [bytes])
+    return readValues(acceptor, pieces) === readValues(completeHandshake().acceptor, [bytes])
   }), RUNS)
   t.pass()
 })
