--- a/src/peers/ask-each.ts
+++ b/src/peers/ask-each.ts
@@ -1,4 +1,4 @@
-/** Asks each of `names`, at most `concurrency` at once; names those whose answer was undefined. */
+/** Asks each of `names`, at most `concurrency` at once. Returns the answers, and the sorted names whose answer was undefined. */
 export async function askEach<T> (names: readonly string[], ask: (name: string) => Promise<T | undefined>, concurrency: number): Promise<{ readonly answers: readonly T[], readonly unresponsive: readonly string[] }> {
   const remaining = [...names]
   const answers: T[] = []
--- a/src/peers/encode-frame.ts
+++ b/src/peers/encode-frame.ts
@@ -1,6 +1,6 @@
 const LENGTH_BYTES = 4
 
-/** One frame: the length of its body as 32 bits, big-endian, then the body. */
+/** Encodes a frame: the length of its body as 32 bits, big-endian, then the body. */
 export function encodeFrame (...parts: readonly Uint8Array[]): Buffer {
   const length = parts.reduce((sum, part) => sum + part.length, 0)
   const header = Buffer.allocUnsafe(LENGTH_BYTES)
--- a/src/peers/fleet-broadcast.ts
+++ b/src/peers/fleet-broadcast.ts
@@ -15,9 +15,10 @@
 const MESSAGE_TYPE = 'cast'
 
 /**
- * Tells all daemons something. A small fleet is told directly. In a larger one the message goes to the hub of the sender's
- * failure domain, from there to the other hubs, and from each hub to its domain: a daemon then needs links with a few and
- * not with all. What is cast may be lost with a hub; whoever needs it surely has another way to it.
+ * Sends messages to all daemons. In a small fleet the sender sends them directly. In a larger one a message goes to the leader
+ * of the sender's failure domain, from there to the other domain leaders, and from each leader to its domain, so that a daemon
+ * needs links to a few others only. A broadcast may be lost when a leader fails; a receiver that depends on it needs another
+ * source as well.
  */
 @scoped(Lifecycle.ContainerScoped)
 export class FleetBroadcast implements Part {
@@ -29,7 +30,7 @@
     @inject(PeerLinks) private readonly links: PeerLinks
   ) {}
 
-  /** While a message waits for a slow peer, a newer one of its topic takes its place. */
+  /** Sends `message` to all other daemons. While it waits for a slow peer, a newer one with the same topic replaces it. */
   broadcast (message: PeerMessage, topic: string): void {
     const members = this.members.all()
     const { instance, failureDomain } = this.settings
--- a/src/peers/frame-codec.ts
+++ b/src/peers/frame-codec.ts
@@ -3,12 +3,12 @@
 
 type Value = Readonly<Record<string, unknown>>
 
-/** The values in frames: CBOR maps. What doesn't decode to one is an error, never an exception. */
+/** Encodes the values in frames as CBOR maps. A body that does not decode to a map is an error result, never an exception. */
 export class FrameCodec {
   private readonly encoder: Encoder
   private readonly decoder: Decoder
 
-  /** `keys` are sent as their place in the list, which both ends must have alike; all others as they are. */
+  /** `keys` are encoded as their position in the list, which must be the same at both ends; other keys are encoded as text. */
   constructor (keys: readonly string[] = []) {
     const keyMap = keys.length === 0 ? undefined : Object.fromEntries(keys.map((key, i) => [key, i + 1]))
     this.encoder = new Encoder({ useRecords: false, mapsAsObjects: true, keyMap })
--- a/src/peers/frame-reader.ts
+++ b/src/peers/frame-reader.ts
@@ -4,8 +4,8 @@
 const MAX_FRAME_BYTES = 1_000_000
 
 /**
- * Cuts a byte stream into the bodies of its frames. A frame over `limit` bytes is an error as soon as its length is
- * known, so that a peer can't make us hold more than that; the connection is then of no further use.
+ * Splits a byte stream into the bodies of its frames. A frame over `limit` bytes is an error as soon as its length is known,
+ * which bounds the memory that a peer can take up. After an error the stream can't be read further.
  */
 export class FrameReader {
   private buffered = Buffer.alloc(0)
@@ -16,7 +16,7 @@
     this.buffered = this.buffered.length === 0 ? Buffer.from(bytes) : Buffer.concat([this.buffered, bytes])
   }
 
-  /** The next whole body; undefined until more bytes have come. */
+  /** Returns the next complete body, or undefined until more bytes arrive. */
   take (): Result<Buffer | undefined, string> {
     if (this.buffered.length < LENGTH_BYTES) return Ok(undefined)
     const length = this.buffered.readUInt32BE(0)
--- a/src/peers/is-small-fleet.ts
+++ b/src/peers/is-small-fleet.ts
@@ -1,7 +1,7 @@
-/** Daemons up to which each tells all others itself: with more, the messages and links of all grow with the square of their number. */
+/** Largest fleet whose daemons send to all others directly: messages and links grow with the square of its size. */
 const MAX_DIRECT_MEMBERS = 12
 
-/** Whether the fleet is so small that each daemon may tell all others itself. */
+/** Returns whether each daemon of the fleet broadcasts to all others directly. */
 export function isSmallFleet (members: readonly unknown[]): boolean {
   return members.length <= MAX_DIRECT_MEMBERS
 }
--- a/src/peers/link-watch.ts
+++ b/src/peers/link-watch.ts
@@ -1,18 +1,18 @@
 /** Times in ms. */
 interface LinkWatchOptions {
-  /** Silence after which something sent asks for a sign of life with it. */
+  /** Time without received bytes after which the next message carries a ping. */
   readonly probeAfter?: number
-  /** How long that sign may take. */
+  /** Time after a ping within which any bytes must arrive. */
   readonly answerWithin?: number
-  /** An unused link is closed after this. */
+  /** Time without traffic after which the link is closed. */
   readonly idleAfter?: number
 }
 
 /**
- * Tells a silent connection from a quiet one. Something between two daemons can lose track of a connection: both ends
- * stay open, writes succeed and nothing arrives, for good. So the first message after `probeAfter` ms without a byte
- * from the peer goes with a ping; without any byte in `answerWithin` ms after it the link counts as silent and is closed, and the
- * next message opens a new one, which works. Whether the peer itself is dead is for the membership to say.
+ * Detects half-open connections. A network device between two daemons can lose the state of a connection: both ends stay open,
+ * writes succeed and nothing arrives. So the first message after `probeAfter` ms without received bytes carries a ping. If
+ * nothing arrives within `answerWithin` ms of it, the link counts as silent and is closed, and the next message opens a new
+ * one. Whether the peer itself is alive is decided by the membership.
  */
 export class LinkWatch {
   private receivedAt: number
@@ -30,7 +30,7 @@
     this.pingedAt = undefined
   }
 
-  /** Whether a ping must go with what is sent now. */
+  /** Records a send. Returns whether the message must carry a ping. */
   onSend (now: number): boolean {
     this.usedAt = now
     if (this.pingedAt !== undefined || now - this.receivedAt < this.options.probeAfter) return false
@@ -38,7 +38,7 @@
     return true
   }
 
-  /** How long nothing has come or gone. */
+  /** Returns the time without traffic, ms. */
   getIdleTime (now: number): number {
     return now - this.usedAt
   }
--- a/src/peers/link.ts
+++ b/src/peers/link.ts
@@ -4,28 +4,28 @@
 import { SendQueue } from './send-queue.js'
 import type { Session } from './session.js'
 
-/** Bytes that may wait in the socket before messages wait in the queue, where newer ones replace them. */
+/** Bytes buffered in the socket above which messages wait in the queue, where newer ones can replace them. */
 const MAX_SOCKET_BUFFER = 65_536
 
-/** What a link tells the one that holds it. */
+/** Callbacks of a link. */
 interface LinkListener {
   onAuthenticated (link: Link): void
   onMessage (message: PeerMessage, time: number, from: string): void
   onClose (link: Link, reason: string): void
   onDrop (count: number): void
-  /** `type` is that of the message, or `link` for what the link itself says. */
+  /** `type` is that of the message sent, `link` for a frame without a message, or `all` for received bytes. */
   onBytes (direction: 'sent' | 'received', type: string, count: number): void
-  /** The time to stamp on a frame. */
+  /** Returns the timestamp of the next frame. */
   tick (): number
   now (): number
 }
 
-/** One connection with one peer: a session over a socket, with its queue and its watch. */
+/** A connection to one peer: a session over a socket, with a send queue and a check for silence. */
 export class Link {
   private readonly queue = new SendQueue()
   private readonly watch: LinkWatch
   private closed = false
-  /** Frames written so far. */
+  /** Number of frames written. */
   private written = 0
 
   constructor (private readonly socket: Socket, readonly session: Session, private readonly listener: LinkListener) {
@@ -41,7 +41,7 @@
     return this.session.peer
   }
 
-  /** How long nothing has come or gone, ms. */
+  /** Time without traffic, ms. */
   get idleTime (): number {
     return this.watch.getIdleTime(this.listener.now())
   }
@@ -56,7 +56,7 @@
     this.flush()
   }
 
-  /** Closes the link if it has gone silent or isn't used. */
+  /** Closes the link if it is silent or idle. */
   check (now: number): void {
     const state = this.watch.check(now)
     if (state !== 'open') this.close(state)
@@ -98,7 +98,7 @@
     }
   }
 
-  /** An answer that a handler has just written is sign of life enough. */
+  /** Answers a ping with an empty frame, unless a handler has just sent a frame, which serves as well. */
   private handle ({ t, ping, m }: Readonly<Record<string, unknown>>): void {
     const written = this.written
     if (typeof t === 'number' && typeof (m as PeerMessage | undefined)?.type === 'string') this.listener.onMessage(m as PeerMessage, t, this.peer!)
--- a/src/peers/list-domain-leaders.ts
+++ b/src/peers/list-domain-leaders.ts
@@ -1,7 +1,7 @@
 import { findDomainLeader } from './find-domain-leader.js'
 import type { Member } from './member.js'
 
-/** The hubs of all failure domains but `failureDomain`. */
+/** Lists the domain leaders of all failure domains but `failureDomain`. */
 export function listDomainLeaders (members: readonly Member[], failureDomain: string): readonly string[] {
   const others = new Set(members.map(({ instance }) => instance.failureDomain))
   others.delete(failureDomain)
--- a/src/peers/list-eligible-owners.ts
+++ b/src/peers/list-eligible-owners.ts
@@ -1,20 +1,20 @@
 import type { MemberRecord } from '../coordination/member-record.js'
 
-/** How long a member counts that is known from a list and wasn't heard, ms: those that live are heard within some ten. */
+/** Time for which a member known only from a list is eligible, ms. A running daemon usually makes contact sooner. */
 const LISTED_GRACE = 1_000
 
 interface OwnerOptions {
   readonly self: string
   /** Monotonic ms. */
   readonly now: number
-  /** Only members of this region, where it is given. */
+  /** Only members of this region, if set. */
   readonly region?: string
 }
 
 /**
- * Names of the members that may own things: alive or suspect, and not leaving. One that a list names and nobody has heard counts for a
- * moment only. Silence takes more than five seconds to show that it is gone, and where all daemons have started anew what
- * falls by rank to one that was removed long ago rests for that time: jobs that nobody runs, slots that nobody gives.
+ * Lists the names of the members that may own jobs and servers: alive or suspect, and not leaving. A member known only from a
+ * list is eligible for a short time. Detecting that it is gone takes more than five seconds; after a restart of all daemons,
+ * the jobs and slots that rank to a removed member would have no owner for that time.
  */
 export function listEligibleOwners (records: Iterable<MemberRecord>, { self, now, region }: OwnerOptions): readonly string[] {
   return [...records]
--- a/src/peers/member-calls.ts
+++ b/src/peers/member-calls.ts
@@ -7,15 +7,15 @@
 interface MemberCallsOptions<Question, Answer> {
   readonly links: Pick<PeerLinks, 'send'>
   readonly clock: Clock
-  /** Names the pair of messages. */
+  /** Prefix of the types of both messages. */
   readonly name: string
-  /** Answers another daemon's call; undefined where this one can't. */
+  /** Answers another daemon's call; undefined if this daemon can't. */
   readonly handle: (question: Question, from: string) => Promise<Answer | undefined>
 }
 
 /**
- * Calls to single daemons, each with a question of its own and one answer. A call ends undefined where no answer came in
- * time. A part owns one for each kind of call and registers its `extensions`.
+ * Calls to single daemons, each with a question and one answer. A call resolves with undefined if no answer arrives in time. A
+ * part creates one instance for each kind of call and registers its `extensions`.
  */
 export class MemberCalls<Question, Answer> {
   readonly extensions: readonly Extension[]
--- a/src/peers/member-queries.ts
+++ b/src/peers/member-queries.ts
@@ -14,26 +14,26 @@
   /** Types of the two messages. */
   readonly requestType: string
   readonly answerType: string
-  /** How long each question may take, ms. */
+  /** Time allowed for each answer, ms. */
   readonly timeout: number
-  /** Questions under way at once. */
+  /** Maximum number of requests in flight; no limit by default. */
   readonly concurrency?: number
-  /** The fields with which this daemon answers; undefined to stay silent. */
+  /** Returns the fields of this daemon's answer, or undefined to send none. */
   readonly handle: () => Promise<Fields | undefined>
-  /** What an answer says. */
+  /** Decodes an answer. */
   readonly read: (message: PeerMessage, from: string) => T
 }
 
 interface QueryResult<T> {
-  /** By daemon, in the order in which they came. */
+  /** By daemon, in the order of arrival. */
   readonly answers: ReadonlyMap<string, T>
-  /** Daemons that didn't answer in time. */
+  /** Daemons that didn't answer in time, sorted. */
   readonly unresponsive: readonly string[]
 }
 
 /**
- * A question that one daemon puts to others and that each answers for itself: an answer counts once, in time, and from
- * the daemon that was asked. A part owns one and registers its `extensions`.
+ * Sends a request to several daemons and collects their answers. An answer counts once, in time, and from the daemon that was
+ * asked. A part creates one instance for each kind of request and registers its `extensions`.
  */
 export class MemberQueries<T> {
   readonly extensions: readonly Extension[]
@@ -47,13 +47,13 @@
     ]
   }
 
-  /** Asks each of `names` once; resolves when all have answered or had their time. */
+  /** Sends the request to each of `names` once. Resolves when each has answered or timed out. */
   async ask (names: readonly string[]): Promise<QueryResult<T>> {
     const { answers, unresponsive } = await askEach(names, async name => await this.sendQuery(name), this.options.concurrency ?? names.length)
     return { answers: new Map(answers), unresponsive }
   }
 
-  /** Takes those asked that haven't answered for silent. */
+  /** Ends all pending requests; their daemons count as unresponsive. */
   stop (): void {
     this.pending.stop()
   }
--- a/src/peers/member.ts
+++ b/src/peers/member.ts
@@ -1,11 +1,11 @@
 import type { Instance } from '../store/instance.js'
 
-/** A daemon as this one sees it. */
+/** A daemon of the fleet, as seen by this one. */
 export interface Member {
   readonly instance: Instance
   readonly state: 'alive' | 'suspect' | 'leaving'
-  /** Whether it takes callers: it knows a configuration. */
+  /** Whether it accepts callers: it has a configuration. */
   readonly ready: boolean
-  /** Wall-clock ms at which its process started; 0 while only the platform's list knows it. */
+  /** Wall-clock start of its process, ms; 0 while it is known only from the platform's list. */
   readonly run: number
 }
--- a/src/peers/members.ts
+++ b/src/peers/members.ts
@@ -23,14 +23,16 @@
 import { readInstance } from './read-instance.js'
 
 const ENTRY_POOL = 'entry'
-/** A quarter of a second is the longest that the membership takes; each tick wakes the process. */
+/** Period of membership ticks, ms: the longest that the protocol allows, because each tick wakes the process. */
 const TICK_PERIOD = 250
-/** How often a leave looks whether all know, ms. */
+/** Period of the checks whether all members have acknowledged a leave, ms. */
 const LEAVE_CHECK_PERIOD = 20
+/** Time after which a leave is announced again, ms. */
 const LEAVE_RESEND_PERIOD = 500
+/** Time after which a leave ends without all acknowledgements, ms. */
 const LEAVE_TIMEOUT = 5_000
 
-/** The daemons of the fleet as this one sees them, by probes among themselves; the platform's list only seeds it. */
+/** Holds the daemons of the fleet as seen by this one, which probe each other. The platform's list only seeds it. */
 @scoped(Lifecycle.ContainerScoped)
 export class Members implements Part {
   readonly extensions = [peerHandlerPoint.of({
@@ -42,7 +44,7 @@
     }
   })]
 
-  /** Wall-clock ms at which this run of the daemon began. */
+  /** Wall-clock start of this process, ms. */
   readonly run: number
   private state: MembershipState
   private readonly listeners = new Set<() => void>()
@@ -51,7 +53,7 @@
   private cancel = (): void => {}
   private lastOwners = ''
   private leaveSequence = Infinity
-  /** Members that may not know yet that this one leaves. */
+  /** Members that have not acknowledged that this one leaves. */
   private unacknowledged = new Set<string>()
 
   constructor (
@@ -91,14 +93,15 @@
     return readMember(this.record)
   }
 
-  /** All daemons that aren't known to be dead, this one among them. */
+  /** Returns all daemons that are not known to be dead, including this one. */
   all (): readonly Member[] {
     return [...this.state.members.values()].filter(({ status }) => status !== 'dead').map(readMember)
   }
 
   /**
-   * Names of the daemons that may own things, in `region` where it is given: alive or suspect, not leaving. Empty
-   * after a pause until another one has been heard: what was believed before it may have lapsed.
+   * Returns the names of the daemons that may own jobs and servers, of `region` if given: alive or suspect, not leaving. Empty
+   * after a pause of this process until another daemon has made contact, because the view from before the pause may be
+   * outdated.
    */
   owners (region?: string): readonly string[] {
     this.pauses.check()
@@ -106,13 +109,13 @@
     return listEligibleOwners(this.state.members.values(), { self: this.settings.instance, now: this.clock.now(), region })
   }
 
-  /** `listener` is called after each change; the function it gives back ends that. */
+  /** Calls `listener` after each change. Returns a function that unsubscribes it. */
   subscribe (listener: () => void): () => void {
     this.listeners.add(listener)
     return () => this.listeners.delete(listener)
   }
 
-  /** Tells the others at which port this daemon listens, and whether it is ready for callers. */
+  /** Announces the port of this daemon, and whether it is ready for callers. */
   update ({ port = this.port, ready = this.ready }: { readonly port?: number, readonly ready?: boolean }): void {
     this.port = port
     this.ready = ready
@@ -120,8 +123,8 @@
   }
 
   /**
-   * Tells the others that this daemon leaves. Resolves once all that are alive have confirmed it, or after 5 s:
-   * whoever can't be reached in that time holds this daemon for a suspect, and no longer names it to callers either.
+   * Announces that this daemon leaves. Resolves once all alive members have acknowledged it, or after 5 s. A member that can't
+   * be reached in that time suspects this daemon, and then no longer names it to callers either.
    */
   async leave (): Promise<void> {
     this.leaveSequence = this.state.sequence + 1
@@ -147,8 +150,8 @@
   }
 
   /**
-   * Finds out at once that a process has ended. By silence alone that takes some seconds, in which callers are sent to it, its jobs
-   * rest, and its slots at servers count as taken though its connections to them are closed.
+   * Checks whether a process has ended after a link to it closed. Detection by probes takes seconds, in which callers are still
+   * sent to it, its jobs wait, and its slots at servers count as taken although its connections to them are closed.
    */
   private async checkProcessEnded (name: string): Promise<void> {
     const { incarnation, status, data } = this.state.members.get(name) ?? {}
@@ -156,7 +159,10 @@
     if (await isAddressGone({ host: String(data.host), port: Number(data.peerPort) })) this.step({ type: 'ended', name, incarnation })
   }
 
-  /** One that a list named stops to count as time passes, without a change of its record. */
+  /**
+   * Notifies listeners when the eligible owners have changed with time alone: a member known only from a list ceases to be
+   * eligible without a change of its record.
+   */
   private checkOwnerChange (): void {
     const owners = this.owners().join()
     const changed = owners !== this.lastOwners
@@ -192,7 +198,7 @@
     if (state.members !== before.members || state.settled !== before.settled) for (const listener of this.listeners) listener()
   }
 
-  /** Keeps the addresses in step, and records on the time line who became what. */
+  /** Updates the peer addresses, and records each change of status on the timeline. */
   private onChange (before: MembershipState): void {
     for (const record of this.state.members.values()) {
       const known = before.members.get(record.name)
--- a/src/peers/peer-addresses.ts
+++ b/src/peers/peer-addresses.ts
@@ -4,7 +4,10 @@
 
 interface PeerAddress { readonly host: string, readonly port: number }
 
-/** Where daemons take frames: what they said themselves, or else the platform's list, which lags. */
+/**
+ * Holds the addresses at which daemons accept links: as reported by the daemons, or else from the platform's list, which may be
+ * outdated.
+ */
 @scoped(Lifecycle.ContainerScoped)
 export class PeerAddresses {
   private readonly reported = new Map<string, PeerAddress>()
--- a/src/peers/peer-links.ts
+++ b/src/peers/peer-links.ts
@@ -18,25 +18,27 @@
 import { Session } from './session.js'
 
 const NONCE_BYTES = 16
+/** Period of the checks for silent, idle and unauthenticated links, ms. */
 const CHECK_PERIOD = 250
+/** Time allowed for the handshake, ms. */
 const HANDSHAKE_TIMEOUT = 2_000
-/** Connections whose peer hasn't proved itself yet. */
+/** Limit on connections whose peer has not authenticated. */
 const MAX_UNAUTHENTICATED = 512
-/** A link on which something came or went within this was in use, ms. */
+/** A link with traffic within this time counts as in use, ms. */
 const RECENT_USE = 5_000
-/** Why this daemon itself closes a link. */
+/** Reasons for which this daemon itself closes a link. */
 const LOCAL_REASONS: readonly string[] = ['idle', 'silent', 'shut down', 'no handshake']
 
 /**
- * Frames between daemons over TCP. One link serves both directions; it is opened when first needed and closed when
- * unused. What is sent while a link is down or full waits in a bounded queue.
+ * Sends messages between daemons over TCP. One link serves both directions; it is opened on first use and closed when idle.
+ * Messages wait in a bounded queue while a link is being opened or the peer is slow.
  */
 @scoped(Lifecycle.ContainerScoped)
 export class PeerLinks implements Part {
-  /** The port in use, once started. */
+  /** The port in use; 0 until started. */
   port = 0
   private readonly server: Server
-  /** By peer: the link that sends, proven or being opened. */
+  /** By peer: the link for sending, authenticated or being opened. */
   private readonly sendLinks = new Map<string, Link>()
   private readonly unauthenticated = new Map<Link, number>()
   private readonly all = new Set<Link>()
@@ -71,22 +73,22 @@
   }
 
   /**
-   * Sends without waiting; a message to a peer that can't be reached is lost, and senders must allow for that. While
-   * it waits for a slow peer, a newer message of the same `topic` takes its place.
+   * Sends a message without waiting. It is lost if the peer can't be reached, which senders must allow for. While it waits for
+   * a slow peer, a newer message with the same `topic` replaces it.
    */
   send (to: string, message: PeerMessage, topic?: string): void {
     const link = this.sendLinks.get(to) ?? this.open(to)
     link?.send(message, topic)
   }
 
-  /** `listener` hears of each peer that closed a link which was in use. */
+  /** Calls `listener` with the peer of each link that closes while in use, unless this daemon closed it. */
   subscribeClosed (listener: (peer: string) => void): void {
     this.closeListeners.add(listener)
   }
 
   /**
-   * The session over which `to` is told things now, if it has proved itself: another one than before means that what
-   * was sent last may be lost.
+   * Returns the session for sending to `to`, or undefined until it is authenticated. When the session has changed since an
+   * earlier message, that message may be lost.
    */
   findSession (to: string): Pick<Session, 'agreedVersion'> | undefined {
     const link = this.sendLinks.get(to)
@@ -137,8 +139,8 @@
   }
 
   /**
-   * Gives a message to its handlers. One that fails on a peer's message, say one of a newer version, costs that message and
-   * not the daemon.
+   * Passes a message to its handlers. An exception, such as on a message of a newer version, is logged and stops neither the
+   * daemon nor the other handlers.
    */
   dispatch (message: PeerMessage, from: string): void {
     for (const handler of this.registeredExtensions.collect(peerHandlerPoint)) {
@@ -146,7 +148,7 @@
       try {
         handler.handle(message, from)
       } catch (error) {
-        this.log.write('error', 'peers', 'a handler failed', { type: message.type, from, error: (error as Error).stack })
+        this.log.write('error', 'peers', 'message handler failed', { type: message.type, from, error: (error as Error).stack })
       }
     }
   }
--- a/src/peers/peer-message.ts
+++ b/src/peers/peer-message.ts
@@ -1,4 +1,4 @@
-/** What one daemon tells another. `type` selects the handler; a receiver ignores types and fields it doesn't know. */
+/** A message between daemons. `type` selects the handlers; a receiver ignores unknown types and fields. */
 export interface PeerMessage {
   readonly type: string
   readonly [field: string]: unknown
--- a/src/peers/pending-calls.ts
+++ b/src/peers/pending-calls.ts
@@ -1,13 +1,13 @@
 import type { Clock } from '../kernel/clock.js'
 
-/** Calls to other daemons that wait for their answers: each ends once, by the daemon that was asked, or in time by nobody. */
+/** Calls to other daemons that await an answer. Each settles once: with the answer of the daemon called, or undefined on timeout. */
 export class PendingCalls<T> {
   private readonly waiting = new Map<number, { readonly from: string, readonly settle: (answer?: T) => void }>()
   private calls = 0
 
   constructor (private readonly clock: Pick<Clock, 'after'>) {}
 
-  /** Calls `send` with a number for the call; resolves with what is settled under it, undefined after `timeout` ms. */
+  /** Calls `send` with the number of the call. Resolves with its answer, or undefined after `timeout` ms. */
   async open (from: string, timeout: number, send: (call: number) => void): Promise<T | undefined> {
     const call = this.calls++
     return await new Promise(resolve => {
@@ -22,7 +22,7 @@
     })
   }
 
-  /** Whether an answer to the call counts, coming from that daemon. */
+  /** Returns whether the call is pending and was sent to `from`. */
   has (call: number, from: string): boolean {
     return this.waiting.get(call)?.from === from
   }
@@ -31,7 +31,7 @@
     this.waiting.get(call)?.settle(answer)
   }
 
-  /** Ends every call without an answer. */
+  /** Settles every pending call with undefined. */
   stop (): void {
     for (const { settle } of this.waiting.values()) settle()
   }
--- a/src/peers/plain-codec.ts
+++ b/src/peers/plain-codec.ts
@@ -1,4 +1,4 @@
 import { FrameCodec } from './frame-codec.js'
 
-/** What handshakes are written in, and the frames of a session of version 2. */
+/** The codec of handshakes, and of frames in protocol version 2. */
 export const plainCodec = new FrameCodec()
--- a/src/peers/read-instance.ts
+++ b/src/peers/read-instance.ts
@@ -4,7 +4,7 @@
 /** The pool of the instances that run daemons. */
 const ENTRY_POOL = 'entry'
 
-/** The instance that a member's record describes. `port` is 0 until it listens. */
+/** Builds the instance that a membership record describes. `port` is 0 until the daemon listens. */
 export function readInstance ({ name, data, leaving }: MemberRecord): Instance {
   return {
     name,
--- a/src/peers/send-queue.ts
+++ b/src/peers/send-queue.ts
@@ -3,9 +3,9 @@
 interface Entry { readonly topic: string | undefined, readonly message: PeerMessage }
 
 /**
- * Messages waiting for a peer that is slow or not connected yet, at most `limit`. A newer message replaces a waiting
- * one of its topic, whose news it supersedes; when the queue is full the oldest goes. A slow peer then costs a bounded
- * amount of memory, and what it gets in the end is the newest.
+ * A queue of at most `limit` messages for a peer that is slow or not connected yet. A newer message replaces a waiting one with
+ * the same topic; when the queue is full, the oldest message is dropped. This bounds the memory for a slow peer, which receives
+ * the newest messages.
  */
 export class SendQueue {
   private entries: Entry[] = []
@@ -16,7 +16,7 @@
     return this.entries.length
   }
 
-  /** Adds a message; gives back how many others it pushed out. */
+  /** Adds a message. Returns how many others it replaced or dropped. */
   add (message: PeerMessage, topic?: string): number {
     const before = this.entries.length
     if (topic !== undefined) this.entries = this.entries.filter(entry => entry.topic !== topic)
--- a/src/peers/session-event.ts
+++ b/src/peers/session-event.ts
@@ -1,4 +1,4 @@
-/** What came of bytes that a session took in: bytes to send back, the proof of the peer, or a value from it. */
+/** What a session returns for received bytes: bytes to send back, the authentication of the peer, or a value from it. */
 export type SessionEvent =
   | { readonly type: 'send', readonly bytes: Buffer }
   | { readonly type: 'proven', readonly peer: string }
--- a/src/peers/session-keys.ts
+++ b/src/peers/session-keys.ts
@@ -1,6 +1,6 @@
 import { createHmac } from 'node:crypto'
 
-/** Who opened a session with whom, and the nonce of each. */
+/** The two ends of a session, with the nonce of each. */
 interface SessionParties {
   readonly opener: string
   readonly acceptor: string
@@ -8,7 +8,7 @@
   readonly acceptorNonce: Uint8Array
 }
 
-/** What the two ends of one session prove and seal with. */
+/** The handshake proofs and frame keys of a session. */
 interface SessionKeys {
   readonly openerProof: Buffer
   readonly acceptorProof: Buffer
@@ -17,8 +17,8 @@
 }
 
 /**
- * Derives the proofs and sealing keys of one session from the shared secret. Both nonces and both names go in, so
- * that nothing recorded from one session is of use in another, nor between other daemons.
+ * Derives the proofs and frame keys of a session from the shared secret. Both nonces and both names are part of the input, so
+ * that nothing recorded from one session can be replayed in another or between other daemons.
  */
 export function buildSessionKeys (secret: string, { opener, acceptor, openerNonce, acceptorNonce }: SessionParties): SessionKeys {
   const names = JSON.stringify([opener, acceptor])
--- a/src/peers/session.ts
+++ b/src/peers/session.ts
@@ -10,39 +10,40 @@
 import type { SessionEvent } from './session-event.js'
 import { shortCodec } from './short-codec.js'
 
-/** From this version on frames have short names, short seals and differences of times. */
+/** From this version on, frames have short field names, short tags and delta-encoded times. */
 const COMPACT_VERSION = 3
 const PROTOCOL_VERSION = COMPACT_VERSION
-/** A newer version speaks this one too, to peers that say it; what it adds to frames is ignored. */
+/** Oldest supported version. Both ends use the older of their versions and ignore unknown fields. */
 const OLDEST_VERSION = 2
 const NONCE_BYTES = 16
-/** The longest frame before the peer has proved itself. */
+/** Limit on frames from a peer that has not authenticated. */
 const MAX_HANDSHAKE_BYTES = 256
 const MAX_FRAME_BYTES = 1_000_000
 
 type Value = Readonly<Record<string, unknown>>
 
-/** What a session is built from; `to` is the expected peer, where this end opened it. */
+/** Options of a session. `to` is the expected peer, set at the end that opens it. */
 interface SessionOptions {
   readonly self: string
   readonly secret: string
   readonly nonce: Uint8Array
   readonly to?: string
-  /** The newest version that this end speaks. */
+  /** Newest version that this end supports; the current one by default. */
   readonly version?: number
 }
 
 /**
  * One end of a session between two daemons, without its socket: bytes in, events out.
  *
- * The opener sends a hello with its nonce, the acceptor answers with a nonce of its own and its proof, the opener
- * proves itself in turn. A recorded handshake is of no use, because the other end's nonce is new; each later frame is
- * sealed with the session's key and the frame's number. Unknown fields are ignored. Any error ends the session.
+ * The opener sends a hello with its nonce, the acceptor answers with its own nonce and its proof, and the opener sends its
+ * proof in turn. A replayed handshake fails because the nonce of the other end is new. Each later frame carries a tag that
+ * authenticates its body and its sequence number with a key of the session. Unknown fields are ignored. Any error ends the
+ * session.
  */
 export class Session {
-  /** The peer's name once it has proved itself. */
+  /** The name of the peer, once it has authenticated. */
   peer: string | undefined
-  /** The version that both ends speak, once they have said theirs. */
+  /** The version in use; 0 until the peer has sent its own. */
   agreedVersion = 0
   private readonly reader = new FrameReader(MAX_HANDSHAKE_BYTES)
   private outgoing: FrameAuthenticator | undefined
@@ -53,12 +54,12 @@
 
   constructor (private readonly options: SessionOptions) {}
 
-  /** The first bytes of the end that opens. */
+  /** Returns the hello, which the opener sends first. */
   open (): Buffer {
     return encodeFrame(plainCodec.encode({ v: this.version, from: this.options.self, nonce: this.options.nonce }))
   }
 
-  /** One value, sealed. Only once the peer is proven. */
+  /** Encodes a value as an authenticated frame. The peer must have authenticated. */
   seal (value: Value): Buffer {
     const { t } = value
     const body = this.codec.encode(this.times === undefined || typeof t !== 'number' ? value : { ...value, t: this.times.out.encode(t) })
@@ -80,7 +81,7 @@
 
   private verifyFrame (frame: Buffer): Result<readonly SessionEvent[], string> {
     const body = this.incoming!.verify(frame)
-    if (body === undefined) return Err('a frame has the wrong seal')
+    if (body === undefined) return Err('a frame has a wrong authentication tag')
     return this.codec.decode(body).map(value => {
       const { t } = value
       return [{ type: 'value', value: this.times === undefined || typeof t !== 'number' ? value : { ...value, t: this.times.in.decode(t) } }]
@@ -93,7 +94,7 @@
     if (this.expected !== undefined) return this.verifyProof(decoded.val)
     const { v, from, nonce } = decoded.val
     if (typeof v !== 'number' || v < OLDEST_VERSION) return Err(`the peer speaks version ${String(v)}, we need ${OLDEST_VERSION}`)
-    if (typeof from !== 'string' || !(nonce instanceof Uint8Array) || nonce.length !== NONCE_BYTES) return Err('a handshake lacks its name or nonce')
+    if (typeof from !== 'string' || !(nonce instanceof Uint8Array) || nonce.length !== NONCE_BYTES) return Err('a handshake has no name or no valid nonce')
     return this.options.to === undefined ? this.acceptHello(from, nonce, v) : this.acceptAnswer(from, nonce, decoded.val)
   }
 
@@ -101,7 +102,7 @@
     return this.options.version ?? PROTOCOL_VERSION
   }
 
-  /** Both ends go on in the older of their versions. */
+  /** Sets up authentication, codec and times for the older version of both ends. */
   private startFrames (peerVersion: number, outgoing: Uint8Array, incoming: Uint8Array): void {
     this.agreedVersion = Math.min(this.version, peerVersion)
     const short = this.agreedVersion >= COMPACT_VERSION
--- a/test/peers/links.test.ts
+++ b/test/peers/links.test.ts
@@ -6,7 +6,7 @@
 import { createLinks } from '../helpers/create-links.js'
 import { VirtualClock } from '../helpers/virtual-clock.js'
 
-test('a full queue drops the oldest, and a newer message takes the place of its topic', t => {
+test('a full queue drops the oldest message, and a newer message replaces one with its topic', t => {
   const queue = new SendQueue(2)
   t.is(queue.add({ type: 'x', n: 1 }, 'load'), 0)
   t.is(queue.add({ type: 'x', n: 2 }, 'load'), 1)
@@ -15,12 +15,12 @@
   t.deepEqual([queue.take()?.type, queue.take()?.type, queue.take()], ['y', 'z', undefined])
 })
 
-test('a link is silent only when something sent got no sign of life', t => {
+test('a link is silent only if nothing arrives after a ping', t => {
   const cases: readonly (readonly [string, (watch: LinkWatch) => number, string])[] = [
     ['nothing sent', () => 5_000, 'open'],
     ['answered', watch => { watch.onSend(2_000); watch.onReceive(2_100); return 9_000 }, 'open'],
     ['not answered', watch => { watch.onSend(2_000); return 3_500 }, 'silent'],
-    ['later sends ask no further time', watch => { watch.onSend(2_000); watch.onSend(3_400); return 3_500 }, 'silent'],
+    ['later sends do not extend the time', watch => { watch.onSend(2_000); watch.onSend(3_400); return 3_500 }, 'silent'],
     ['unused', () => 60_000, 'idle']
   ]
   for (const [name, run, state] of cases) {
@@ -29,8 +29,8 @@
   }
 })
 
-// Something between two daemons loses track of an open connection: writes succeed and nothing arrives, for good,
-// while new connections work. The thin version wrote into the dead connection for ever.
+// A network device between two daemons loses the state of an open connection: writes succeed and nothing arrives, while new
+// connections work. Without detection every later message would be lost.
 test('a silent connection is closed and the next message goes over a new one', async t => {
   const clock = new VirtualClock()
   const b = await createLinks('b', clock)
@@ -62,7 +62,7 @@
   t.true(sockets.length > openBefore)
 })
 
-test('a peer with another key gets no message through', async t => {
+test('a message from a peer with another key is not delivered', async t => {
   const clock = new VirtualClock()
   const [a, b] = await Promise.all([createLinks('a', clock, 'other key'), createLinks('b', clock)])
   t.teardown(async () => { await Promise.all([a.links.stop(), b.links.stop()]) })
--- a/test/peers/list-eligible-owners.test.ts
+++ b/test/peers/list-eligible-owners.test.ts
@@ -12,15 +12,15 @@
   { name: 'dead', record: { status: 'dead' }, counts: false },
   { name: 'leaving', record: { leaving: true }, counts: false },
   { name: 'listed a moment ago', record: { incarnation: 0, since: 9_500 }, counts: true },
-  { name: 'listed, and not heard since', record: { incarnation: 0, since: 8_900 }, counts: false },
+  { name: 'listed, and no contact since', record: { incarnation: 0, since: 8_900 }, counts: false },
   { name: 'of another region', record: { data: { region: 's' } }, counts: false },
-  { name: 'itself, whatever the list says', record: { name: 'd0', incarnation: 0 }, counts: true }
+  { name: 'itself, known only from the list', record: { name: 'd0', incarnation: 0 }, counts: true }
 ]
 
-// All daemons have started anew, and the store still names one that was removed. What falls to it by rank must not wait until its silence
-// has shown that it is gone.
+// All daemons have restarted, and the store still lists one that was removed. What ranks to it must get another owner before
+// membership detects that it is gone.
 for (const { name, record, counts } of cases) {
-  test(`who may own: ${name}`, t => {
+  test(`eligible owners: ${name}`, t => {
     t.is(listEligibleOwners([{ ...base, ...record }], { self: 'd0', now: 10_000, region: 'r' }).length, counts ? 1 : 0)
   })
 }
--- a/test/peers/member-queries.test.ts
+++ b/test/peers/member-queries.test.ts
@@ -7,7 +7,7 @@
 
 interface Sent { readonly to: string, readonly message: PeerMessage }
 
-/** One daemon's queries; `tell` is what it answers itself. */
+/** The queries of one daemon; `handle` returns its own answers. */
 function createQueries ({ concurrency, handle = async () => ({ value: 7 }) }: { concurrency?: number, handle?: () => Promise<{ value: number } | undefined> } = {}) {
   const clock = new VirtualClock()
   const sent: Sent[] = []
@@ -23,17 +23,17 @@
 
 const CASES: Readonly<Record<string, { readonly run: (scene: Scene) => Promise<void> | void, readonly answers: readonly (readonly [string, number])[], readonly unresponsive: readonly string[], readonly after: number }>> = {
   'all answer': { run: ({ answer }) => { answer('b', 2); answer('a', 1) }, answers: [['b', 2], ['a', 1]], unresponsive: [], after: 0 },
-  'one stays silent': { run: ({ answer }) => answer('b', 2), answers: [['b', 2]], unresponsive: ['a'], after: 1_000 },
-  'nobody answers': { run: () => {}, answers: [], unresponsive: ['a', 'b'], after: 1_000 },
+  'one does not answer': { run: ({ answer }) => answer('b', 2), answers: [['b', 2]], unresponsive: ['a'], after: 1_000 },
+  'neither answers': { run: () => {}, answers: [], unresponsive: ['a', 'b'], after: 1_000 },
   'an answer comes twice': { run: ({ answer }) => { answer('a', 1); answer('a', 5); answer('b', 2) }, answers: [['a', 1], ['b', 2]], unresponsive: [], after: 0 },
-  'another answers in its place': { run: ({ answer }) => { answer('a', 9, 'c'); answer('b', 2) }, answers: [['b', 2]], unresponsive: ['a'], after: 1_000 },
+  'another daemon answers in its place': { run: ({ answer }) => { answer('a', 9, 'c'); answer('b', 2) }, answers: [['b', 2]], unresponsive: ['a'], after: 1_000 },
   'an answer comes too late': { run: async ({ clock, answer }) => { answer('b', 2); await clock.advance(1_000); answer('a', 1) }, answers: [['b', 2]], unresponsive: ['a'], after: 1_000 },
-  'an answer to nothing that was asked': { run: ({ deliver, answer }) => { deliver({ type: 'answer', id: 99, value: 3 }, 'a'); answer('a', 1); answer('b', 2) }, answers: [['a', 1], ['b', 2]], unresponsive: [], after: 0 },
-  'the asker stops': { run: ({ queries, answer }) => { answer('a', 1); queries.stop() }, answers: [['a', 1]], unresponsive: ['b'], after: 0 }
+  'an answer to an unknown request': { run: ({ deliver, answer }) => { deliver({ type: 'answer', id: 99, value: 3 }, 'a'); answer('a', 1); answer('b', 2) }, answers: [['a', 1], ['b', 2]], unresponsive: [], after: 0 },
+  'the caller stops': { run: ({ queries, answer }) => { answer('a', 1); queries.stop() }, answers: [['a', 1]], unresponsive: ['b'], after: 0 }
 }
 
 for (const [name, { run, answers, unresponsive, after }] of Object.entries(CASES)) {
-  test(`a question to two members: ${name}`, async t => {
+  test(`a query of two members: ${name}`, async t => {
     const scene = createQueries()
     let ended: number | undefined
     const asked = scene.queries.ask(['b', 'a']).finally(() => { ended = scene.clock.now() })
@@ -46,13 +46,13 @@
   })
 }
 
-test('nobody to ask: the answer is there at once', async t => {
+test('a query of no members resolves at once', async t => {
   const { queries, sent } = createQueries()
   t.deepEqual(await queries.ask([]), { answers: new Map(), unresponsive: [] })
   t.is(sent.length, 0)
 })
 
-test('as many are asked at once as may be, the next when one has answered or had its time', async t => {
+test('requests in flight are limited; the next is sent when one is answered or times out', async t => {
   const { clock, queries, sent, answer } = createQueries({ concurrency: 1 })
   const asked = queries.ask(['a', 'b', 'c'])
   await clock.advance(0)
@@ -67,7 +67,7 @@
   t.deepEqual([[...answers], unresponsive], [[['a', 1], ['c', 3]], ['b']])
 })
 
-test('a daemon answers under the number of the question, or stays silent', async t => {
+test('a daemon answers with the id of the request, or not at all', async t => {
   const answering = createQueries()
   answering.deliver({ type: 'question', id: 4 }, 'a')
   await answering.clock.advance(0)
--- a/test/peers/members-whole.test.ts
+++ b/test/peers/members-whole.test.ts
@@ -3,8 +3,8 @@
 import { Fleet } from '../../harness/fleet.js'
 import { readFolder } from '../../src/config/read-folder.js'
 
-// Daemons are killed, frozen and thawed while the platform's list goes on naming them, and then the platform is down.
-// Callers must not be sent to one that doesn't answer, and must be sent again to one that is back.
+// Daemons are killed, paused and resumed while the platform's list still names them, and then the platform is down. Callers
+// must not be sent to a daemon that doesn't answer, and must be sent to it again once it is back.
 test('addresses follow the daemons that answer, not the platform\'s list', async t => {
   const fleet = await Fleet.start()
   t.teardown(async () => await fleet.stop())
--- a/test/peers/regions-partitioned.test.ts
+++ b/test/peers/regions-partitioned.test.ts
@@ -6,10 +6,10 @@
 
 const REGIONS = ['region-1', 'region-2', 'region-1', 'region-2']
 
-// The links between the daemons of two regions fall silent: open ones carry nothing more, new ones aren't answered. Each
-// region holds the other's daemons for dead; callers of both are served, and an operator of one changes the configuration.
-// Then the links carry again: every daemon finds every other, and all act on what was changed.
-test('two regions parted and whole again, over processes', async t => {
+// The network between two regions is partitioned: open connections carry nothing, and new ones get no answer. Each region
+// considers the daemons of the other dead; callers of both are served, and an operator of one changes the configuration. When
+// the partition heals, all daemons see each other and use the new version.
+test('two regions are partitioned and rejoin, over processes', async t => {
   const fleet = await Fleet.start({ canPart: true })
   t.teardown(async () => await fleet.stop())
   await Promise.all(REGIONS.slice(0, 2).map(async (region, n) => await fleet.addServer(`engine-${n}`, `domain-${n}`, { pool: 'charter-engines', kind: 'engine', region })))
@@ -34,8 +34,9 @@
   })
 })
 
-// The harness tells the ends of a connection by its first frame. If it took a hello for none, it would part nothing.
-test('the harness reads from the first frame who opened a connection', t => {
+// The harness identifies the ends of a connection by its first frame. If it didn't recognize a hello, it would partition
+// nothing.
+test('the harness reads the opener of a connection from its first frame', t => {
   t.is(readHello(new Session({ self: 'entry-1', secret: 's', nonce: new Uint8Array(16), to: 'entry-2' }).open()), 'entry-1')
   t.is(readHello(Buffer.from('GET / HTTP/1.1\r\n\r\n')), undefined)
 })
--- a/test/peers/session.test.ts
+++ b/test/peers/session.test.ts
@@ -15,7 +15,7 @@
   return Buffer.concat(events.flatMap(event => event.type === 'send' ? [event.bytes] : []))
 }
 
-/** Both ends after a handshake, and what the opener sent in it. */
+/** Completes a handshake. Returns both ends, and what the opener sent. */
 function completeHandshake (opener = createOpener(), acceptor = createAcceptor()) {
   const hello = opener.open()
   const answer = readSent(acceptor.receive(hello).unwrap())
@@ -23,7 +23,7 @@
   return { opener, acceptor, hello, proof, accepted: acceptor.receive(proof) }
 }
 
-test('both ends know each other after the handshake, and pass values both ways', t => {
+test('after the handshake both ends have the name of the peer, and values pass both ways', t => {
   const { opener, acceptor, accepted } = completeHandshake()
   t.deepEqual(accepted.val, [{ type: 'proven', peer: 'a' }])
   t.is(opener.peer, 'b')
@@ -31,9 +31,8 @@
   t.deepEqual(opener.receive(acceptor.seal({ n: 2 })).val, [{ type: 'value', value: { n: 2 } }])
 })
 
-// Somebody who recorded a handshake plays it back. The thin version's proof was a hash of the name alone, so that
-// the recording opened a connection for good.
-test('a recorded handshake opens nothing', t => {
+// An attacker replays a recorded handshake. A proof that didn't depend on the acceptor's nonce would be accepted again.
+test('a replayed handshake is refused', t => {
   const { hello, proof } = completeHandshake()
   const acceptor = createAcceptor({ byte: 3 })
   acceptor.receive(hello)
@@ -61,7 +60,7 @@
   }
   for (const [name, alter] of Object.entries(cases)) {
     const { opener, acceptor } = completeHandshake()
-    t.is(acceptor.receive(alter(opener.seal({ n: 1 }), opener.seal({ n: 2 }))).val, 'a frame has the wrong seal', name)
+    t.is(acceptor.receive(alter(opener.seal({ n: 1 }), opener.seal({ n: 2 }))).val, 'a frame has a wrong authentication tag', name)
   }
 })
 
@@ -70,9 +69,9 @@
   t.true(acceptor.receive(encodeFrame(plainCodec.encode({ v: 4, from: 'a', nonce: nonce(1), later: [1] }))).ok)
 })
 
-// During a replacement of all daemons every pair of versions meets. One that wrote as its peer doesn't read would be cut
-// off from half of the fleet, and both halves would own every server.
-test('two versions side by side understand one another, times and unknown fields included', t => {
+// During a rolling upgrade every pair of versions meets. A daemon whose frames its peer can't decode would be cut off from half
+// of the fleet, and both halves would own every server.
+test('any two versions exchange values, times and unknown fields', t => {
   const field = fc.oneof(fc.constantFrom('t', 'm', 'type', 'counts', 'later', 'constructor', '1', '3'), fc.string().filter(name => name !== '__proto__'))
   const value = fc.dictionary(field, fc.oneof(fc.integer(), fc.string(), fc.dictionary(field, fc.integer())))
   const frame = fc.tuple(value, fc.double({ min: 1e12, max: 2e12, noNaN: true })).map(([value, time]) => ({ ...value, t: time }))
@@ -89,14 +88,14 @@
   }), RUNS)
 })
 
-test('a frame of online news takes less than two thirds of what it took', t => {
+test('a frame of an online load message takes less than two thirds of its size in version 2', t => {
   const buildLoadMessage = (time: number): Readonly<Record<string, unknown>> => ({ t: time, m: { type: 'online', number: 1_764_800_000_000, counts: { 'engine-17': 1 } } })
   const [before, after] = [2, 3].map(version => {
     const { opener } = completeHandshake(createOpener({ version }))
     opener.seal(buildLoadMessage(1_764_800_000_000.25))
     return opener.seal(buildLoadMessage(1_764_800_000_040.25)).length
   })
-  t.log(`${before} bytes before, ${after} now`)
+  t.log(`${before} bytes in version 2, ${after} in version 3`)
   t.true(after! < before! * 2 / 3)
 })
 
@@ -116,13 +115,13 @@
   t.pass()
 })
 
-// Found by seed 11, path 360: a key of this name doesn't come through as it was sent, since it would set a prototype.
+// A key of this name is not decoded as it was sent, because assigning it would set a prototype.
 test('a field named __proto__ changes no prototype', t => {
   const value = plainCodec.decode(plainCodec.encode(JSON.parse('{"__proto__": {"v": 2}}'))).unwrap()
   t.is(value.v, undefined)
 })
 
-test('garbage is an error or incomplete, never an exception, and never held beyond the limit', t => {
+test('garbage is an error or incomplete, never an exception, and never buffered beyond the limit', t => {
   fc.assert(fc.property(fc.array(fc.uint8Array({ maxLength: 300 }), { maxLength: 6 }), fc.boolean(), (chunks, framed) => {
     const acceptor = createAcceptor()
     for (const chunk of chunks) {
@@ -133,8 +132,8 @@
   t.is(new FrameReader(256).push(Buffer.from([0, 0, 1, 1])), undefined)
 })
 
-// A few bytes claim 50 arrays of a million elements, one inside the other. cbor-x spends claimed lengths from the bytes
-// that are left before it allocates; without that it would be 400 MB for anybody who reaches the port.
+// A few bytes claim 50 nested arrays of a million elements. cbor-x checks claimed lengths against the remaining bytes before it
+// allocates; without that, an unauthenticated peer could make it allocate 400 MB.
 test('a frame that claims large arrays is refused without allocating them', t => {
   const claim = Buffer.concat(Array.from({ length: 50 }, () => Buffer.from([0x9a, 0x00, 0x0f, 0x42, 0x40])))
   const before = process.memoryUsage().rss
