--- a/src/admission/account-counts.ts
+++ b/src/admission/account-counts.ts
@@ -1,10 +1,10 @@
-/** What one caller asked for, got and was refused of one service, online or batch. Whole numbers, so that sums are exact; times in ms. */
+/** Counts of one caller's requests to one service, online or batch. Whole numbers, so that sums are exact; times in ms. */
 export interface AccountCounts {
   readonly asked: number
   readonly answered: number
   readonly tokens: number
   readonly waited: number
-  /** Server time it got in minutes in which requests waited, and what its share entitled it to. */
+  /** Server time used in minutes in which requests waited, and what the share entitled the caller to. */
   readonly got: number
   readonly entitled: number
   /** By cause. */
--- a/src/admission/account-entry.ts
+++ b/src/admission/account-entry.ts
@@ -1,4 +1,4 @@
-/** One thing to count for a caller. Times in ms. */
+/** An event to count for a caller. Times in ms. */
 export type AccountEntry =
   | { readonly type: 'asked' }
   /** `first` is the time to the first bytes of a stream, `whole` to the end of the answer. */
@@ -6,6 +6,6 @@
   | { readonly type: 'refused', readonly cause: string }
   | { readonly type: 'failed', readonly cause: string }
   | { readonly type: 'waited', readonly time: number }
-  /** Server time that it got in a minute in which requests waited, and what its share entitled it to. */
+  /** Server time used in a minute in which requests waited, and what the share entitled the caller to. */
   | { readonly type: 'shared', readonly got: number, readonly entitled: number }
   | { readonly type: 'job', readonly outcome: 'on time' | 'late' | 'cancelled' }
--- a/src/admission/account-flush.ts
+++ b/src/admission/account-flush.ts
@@ -10,21 +10,20 @@
 import { Account } from './account.js'
 import { AccountWriter } from './account-writer.js'
 
-/** How often it is looked whether a flush is due, ms. */
+/** Period of the checks whether a flush is due, ms. */
 const CHECK_PERIOD = 1_000
 
 /**
- * Flushes the account: at the end of each period with something to tell, at once after many requests, and at the
- * end. A daemon that is killed takes with it what it counted since: without the second bound that would be a whole
- * period of the busiest moment.
+ * Flushes the account to the platform: periodically, early after many online requests, and at the end. A daemon that is killed
+ * loses what it counted since its last flush; the limit on requests bounds that loss at peak load.
  */
 @scoped(Lifecycle.ContainerScoped)
 export class AccountFlush implements Part {
   private readonly writer: AccountWriter
   private flushedAsked = 0
-  /** Monotonic ms before which none is due, but for many requests or the end. */
+  /** Monotonic ms at which the next periodic flush is due. */
   private dueAt: number
-  /** Monotonic ms before which a failed one isn't tried again. */
+  /** Monotonic ms before which a failed flush is not retried. */
   private retryAt = 0
   private last: Promise<boolean> = Promise.resolve(true)
   private running = false
@@ -42,7 +41,10 @@
     account.subscribe(() => { if (account.askedOnline - this.flushedAsked >= this.writer.due.lead) this.startFlush() })
   }
 
-  /** The run is known to the platform before it counts: one that was killed before its first flush would leave no trace. */
+  /**
+   * Writes the first part of the run before anything is counted: a run that is killed before its first flush would otherwise
+   * leave no trace.
+   */
   async start (): Promise<void> {
     await this.flush(false)
     this.cancel = this.clock.every(CHECK_PERIOD, () => this.check())
@@ -53,13 +55,19 @@
     await this.flush(true)
   }
 
-  /** The parts of this run as they would be written now, but for rows that are in the platform; after a flush under way. */
+  /**
+   * Returns the parts of this run as they would be written now, without rows that the platform already has. Waits for a flush
+   * in progress.
+   */
   async peek (): Promise<Readonly<Record<string, AccountPart>>> {
     while (this.running) await this.last
     return this.writer.peek(this.account.readSample(this.clock.date()))
   }
 
-  /** The end of the day is kept here and written at the usual time: all daemons at once would be a burst at the platform. */
+  /**
+   * Keeps the sample at the end of the day, and writes it with the next periodic flush: flushes of all daemons at midnight
+   * would be a burst for the platform.
+   */
   private check (): void {
     const date = this.clock.date()
     if (this.writer.isDayOver(date)) this.writer.endDay(this.account.readSample(date))
@@ -70,7 +78,7 @@
     if (!this.running && this.clock.now() >= this.retryAt) void this.flush(false)
   }
 
-  /** One after the other: each is a conditional update on the one before. */
+  /** Runs flushes one after another: each is a conditional update of the one before. */
   private async flush (closed: boolean): Promise<boolean> {
     this.last = this.last.then(async () => await this.write(closed))
     return await this.last
--- a/src/admission/account-fold.ts
+++ b/src/admission/account-fold.ts
@@ -12,11 +12,12 @@
 import { mergePart } from './merge-part.js'
 import { readAll } from './read-all.js'
 
+/** Period of the folds, ms. */
 const PERIOD = 300_000
 
 /**
- * Folds the parts of runs that have ended into their days, so that objects don't pile up with each restart. One daemon
- * does it, by rendezvous; two at once do no harm.
+ * Folds the parts of ended runs into the totals of their days, so that objects don't accumulate with each restart. Rendezvous
+ * hashing chooses one daemon for this; if two run at once, each part is still added once.
  */
 @scoped(Lifecycle.ContainerScoped)
 export class AccountFold implements Part {
--- a/src/admission/account-limits.ts
+++ b/src/admission/account-limits.ts
@@ -1,24 +1,25 @@
-/** Bounds of what the account may miss and of what it keeps in the platform. Times in ms. */
+/** Limits on what the account may lack, and on what it stores in the platform. Times in ms. */
 export const accountLimits = {
-  /** Time between two flushes while the platform answers, in a fleet of up to 60 daemons. */
+  /** Time between two flushes while the platform is available, in a fleet of up to 60 daemons. */
   flushPeriod: 10_000,
-  /** Online requests after which a flush doesn't wait for the period, in a fleet of up to 60 daemons. */
+  /** Online requests after which a flush is started early, in a fleet of up to 60 daemons. */
   maxUnflushed: 200,
-  /** Writes a second of all daemons together that longer periods hold to in a larger one. */
+  /** Flushes per second of all daemons together; a larger fleet flushes less often to stay within it. */
   fleetWriteRate: 6,
-  /** Online requests a second of one daemon, with which such a period is still kept: the target's. */
+  /** Online requests per second of one daemon at which `lead` does not shorten the period of a large fleet: the target load. */
   daemonRequestRate: 25,
-  /** What a flush may take: one call and the reading back of its reply. */
+  /** Longest duration of a flush: one write, and a read if its reply is lost. */
   maxFlushTime: 5_000,
-  /** Rows after which a part is closed and the next begun, so that an object stays under 1 MB. */
+  /** Rows after which a part is closed and the next one begun, so that an object stays under 1 MB. */
   maxRows: 3_000,
-  /** Time after which a part that wasn't closed and isn't flushed any more is folded into its day. */
+  /** Time since the last flush after which an open part is folded into its day. */
   foldOpenAfter: 3_600_000,
   /**
-   * Time after which a closed one is. A run that lost the reply to its last write looks for the part a second later; if
-   * it were folded by then, the run would have to learn from the day what was folded, which an old read may not show.
+   * Time since the last flush after which a closed part is folded. A run that lost the reply to its last write reads the part
+   * again a second later. If the part had been folded by then, the run would have to learn from the day what was folded, and a
+   * stale read may not show that.
    */
   foldClosedAfter: 600_000,
-  /** Objects over which a day's callers are spread. */
+  /** Objects over which the callers of a day are spread. */
   shards: 16
 } as const
--- a/src/admission/account-queries.ts
+++ b/src/admission/account-queries.ts
@@ -24,13 +24,13 @@
 
 const REQUEST_TYPE = 'account question'
 const ANSWER_TYPE = 'account answer'
-/** Questions under way at once, and how long each may take: 63 silent daemons, a failure domain, cost 8 s. */
+/** Limit on requests in flight, and the time allowed for each, ms. A failure domain of 63 unresponsive daemons takes 8 s. */
 const CONCURRENCY = 16
 const TIMEOUT = 2_000
 
 /**
- * Asks each daemon, once a read, for what it has counted and not flushed yet. An answer holds only rows that differ
- * from what the daemon last wrote, so that its size goes with the last ten seconds and not with the day.
+ * Collects the counts that daemons have not flushed yet, once for each read of the account. An answer holds only rows that
+ * differ from those last written, so that its size depends on the time since the last flush and not on the day.
  */
 @scoped(Lifecycle.ContainerScoped)
 export class AccountQueries implements Part {
@@ -54,13 +54,16 @@
     this.queries.stop()
   }
 
-  /** What every daemon has counted, this one among them. */
+  /** Returns the unflushed counts of all daemons, including this one. */
   async askAll (): Promise<QueriedParts> {
     const { answers, unresponsive } = await this.queries.ask(listOthers(this.members.all(), this.settings.instance))
     return { parts: Object.assign({}, await this.flush.peek(), ...answers.values()), unresponsive }
   }
 
-  /** Silent with more rows than a part may have, as after an outage: the frame would be over its limit and cost the link. */
+  /**
+   * Returns undefined, which sends no answer, for more rows than a part may have, as after an outage: the frame would exceed
+   * its limit and close the link.
+   */
   private async answer (): Promise<{ readonly parts: Parts } | undefined> {
     const parts = await this.flush.peek()
     const rows = Object.values(parts).reduce((sum, part) => sum + Object.keys(part.rows).length, 0)
@@ -68,7 +71,7 @@
   }
 }
 
-/** Only a daemon itself can tell of its parts. */
+/** Keeps the parts of the daemon that sent them. */
 function keepOwn ({ parts }: PeerMessage, from: string): Parts {
   return Object.fromEntries(Object.entries(parts as Parts).filter(([, { instance }]) => instance === from))
 }
--- a/src/admission/account-reader.ts
+++ b/src/admission/account-reader.ts
@@ -17,7 +17,7 @@
 
 interface ReadOptions { readonly caller?: string, readonly since?: string, readonly until?: string }
 
-/** Adds up the account of the fleet: days, parts, and what daemons that live haven't flushed yet. */
+/** Adds up the account of the fleet: days, parts, and the unflushed counts of running daemons. */
 @scoped(Lifecycle.ContainerScoped)
 export class AccountReader {
   constructor (
@@ -28,8 +28,8 @@
   ) {}
 
   /**
-   * Daemons are asked before parts are read, so that a part which ends in between is read whole; parts are read before
-   * days, so that one which is folded in between is in both, and counted once.
+   * Reads the account. Daemons are queried before parts are read, so that a part which ends in between is read complete. Parts
+   * are read before days, so that a part which is folded in between is in both, and is counted once.
    */
   async read ({ caller, since, until }: ReadOptions): Promise<MergedAccount & { readonly silent: readonly string[] }> {
     const answered = this.mayHaveUnflushed(until) ? await this.queries.askAll() : { parts: {}, unresponsive: [] }
@@ -42,12 +42,15 @@
     return { ...mergeAccount({ parts, days, fresh, since, until, caller }), silent: answered.unresponsive }
   }
 
-  /** What isn't flushed is of today, or in the first moments after midnight of yesterday. */
+  /** Unflushed counts are of today or, shortly after midnight, of yesterday. */
   private mayHaveUnflushed (until: string | undefined): boolean {
     return until === undefined || until >= formatDay(this.clock.date() - DAY)
   }
 
-  /** Counts of this daemon since its start. They are shown for today only, or a report by days would have them on each. */
+  /**
+   * Returns the counts of this daemon since its start. They are included for today only: a report by days would otherwise
+   * repeat them for each day.
+   */
   private readOwn (since = '', until = '9'): Pick<MergedAccount, 'rows' | 'times'> {
     const today = formatDay(this.clock.date())
     return since <= today && today <= until ? { rows: this.account.read(), times: this.account.readTimes() } : { rows: {}, times: {} }
--- a/src/admission/account-routes.ts
+++ b/src/admission/account-routes.ts
@@ -13,8 +13,8 @@
 import { isDay } from './is-day.js'
 
 /**
- * Shows operators the account of the fleet: GET /operator/account, with `caller`, `since` and `until` (YYYY-MM-DD), and
- * GET /operator/callers, with the share and team of each caller.
+ * Serves operators the account of the fleet: GET /operator/account, with `caller`, `since` and `until` (YYYY-MM-DD), and GET
+ * /operator/callers, with the share and team of each caller.
  */
 @scoped(Lifecycle.ContainerScoped)
 export class AccountRoutes implements Part {
@@ -36,7 +36,7 @@
     sendJson(res, 200, { instance: this.settings.instance, ...await this.reader.read({ caller, since, until }) })
   }
 
-  /** Without their tokens. */
+  /** Lists the callers without their tokens. */
   private listCallers (res: Response): void {
     const callers = Object.entries(this.configuration.value.callers).map(([name, { share, team }]) => [name, { share, team }])
     sendJson(res, 200, { callers: Object.fromEntries(callers) })
--- a/src/admission/account-sample.ts
+++ b/src/admission/account-sample.ts
@@ -1,7 +1,7 @@
 import type { AccountRows } from './account-rows.js'
 import type { AccountTimes } from './account-times.js'
 
-/** All that a run has counted at one moment. */
+/** All counts of a run at one moment. */
 export interface AccountSample {
   readonly rows: AccountRows
   readonly times?: AccountTimes
--- a/src/admission/account-writer.ts
+++ b/src/admission/account-writer.ts
@@ -25,21 +25,21 @@
 const emptyCounts: PartCounts = { rows: {}, times: {} }
 
 /**
- * Writes one run's counts to the platform, as one object that only this run adds to. Where the object is closed or gone,
- * because others took the run for dead and folded it into its day, the run goes on in a new part with what it has counted
- * since: writing the whole again would count the folded part twice.
+ * Writes the counts of one run to the platform, as one object to which only this run adds. If other daemons considered the run
+ * dead and closed the object or folded it into its day, the run continues in a new part with what it has counted since: writing
+ * all counts again would count the folded part twice.
  */
 export class AccountWriter {
   private number = 0
   private version = 0
   private samples = 0
   private day: string
-  /** The first sample taken after the part's day had ended: all that the part will hold. */
+  /** The first sample taken after the day of the part has ended: the final contents of the part. */
   private dayEndSample?: AccountSample
-  /** What earlier parts hold, and what this one held when it was written last. */
+  /** Counts in earlier parts, and in this part when it was last written. */
   private earlier = emptyCounts
   private flushed = emptyCounts
-  /** What was written since and may be there: no reply has come. */
+  /** Writes since then whose replies were lost, so that any of them may be stored. */
   private unconfirmed: readonly AccountPart[] = []
   private lastFlush: { askedOnline: number, date: number }
   private plan = planFlush(1)
@@ -53,29 +53,29 @@
   }
 
   /**
-   * Whether the day has ended and no sample was taken since. The next sample ends the part, also if its write is held
-   * up by an outage: with a later one, what was counted since midnight would stand on the day before.
+   * Returns whether the day has ended and no sample has been taken since. The next sample completes the part, even if an outage
+   * delays its write: a later one would put counts from after midnight on the day before.
    */
   isDayOver (date: number): boolean {
     return this.dayEndSample === undefined && formatDay(date) > this.day
   }
 
-  /** Keeps the sample with which the part's day ends. */
+  /** Keeps the sample that completes the day of the part. */
   endDay (sample: AccountSample): void {
     if (this.isDayOver(sample.date)) this.dayEndSample = sample
   }
 
-  /** When the next flush is due: what the part that was written last says. */
+  /** Returns when the next flush is due, as stated in the part last written. */
   get due (): Readonly<ReturnType<typeof planFlush>> {
     return this.plan
   }
 
-  /** Takes the number of daemons into account from the next flush on. */
+  /** Sets the number of daemons in the fleet, which takes effect with the next flush. */
   setDaemons (daemons: number): void {
     this.nextPlan = planFlush(daemons)
   }
 
-  /** Writes what has been counted; says whether it is in the platform. */
+  /** Writes the counts of `sample`. Returns whether they are in the platform. */
   async flush (sample: AccountSample, closed = false): Promise<boolean> {
     if (this.unconfirmed.length > 0 && !await this.recover(this.dayEndSample ?? sample)) return false
     this.endDay(sample)
@@ -84,8 +84,8 @@
   }
 
   /**
-   * The parts as they would be written now, by name, but for rows that are in the platform as they are. Not to be
-   * called during a flush: a part that is closed by it would be told with what goes into the next.
+   * Returns the parts by name as they would be written now, without rows that the platform already has. Must not be called
+   * during a flush: a part that the flush closes would be reported with counts that go into the next part.
    */
   peek (sample: AccountSample): Readonly<Record<string, AccountPart>> {
     this.endDay(sample)
@@ -138,7 +138,7 @@
     return `${this.options.instance}.${this.options.started}.${number}`
   }
 
-  /** Goes on from the object as it is: a write whose reply was lost, or none. Says whether that is known. */
+  /** Continues from the stored object, which may include a write whose reply was lost. Returns whether its state is known. */
   private async recover (sample: AccountSample): Promise<boolean> {
     const found = await this.options.store.get<AccountPart>(KIND, this.name)
     if (found.err) return found.val.type === 'missing' && await this.recoverFolded(sample)
@@ -151,8 +151,8 @@
   }
 
   /**
-   * Where the object is gone. Its day says which state was folded: a write whose reply was lost may have been that, and
-   * were it taken for lost, the next part would hold the same counts.
+   * Handles a missing object. Its day states which state of the part was folded, which may be a write whose reply was lost: if
+   * that write were considered lost, the next part would hold the same counts again.
    */
   private async recoverFolded (sample: AccountSample): Promise<boolean> {
     if (this.unconfirmed.length > 0) {
--- a/src/admission/account.ts
+++ b/src/admission/account.ts
@@ -18,10 +18,10 @@
   readonly jobs: Record<string, number>
 }
 
-/** What each caller asked for, got and was refused at this daemon since it started, by service and kind of work. */
+/** Counts what each caller asked for, received and was refused at this daemon since it started, by service and kind of work. */
 @scoped(Lifecycle.ContainerScoped)
 export class Account {
-  /** Online requests asked for since the start. */
+  /** Number of online requests since the start. */
   askedOnline = 0
   private readonly rows = new Map<string, Counts>()
   private readonly times = new Map<string, Record<string, number>>()
@@ -54,22 +54,22 @@
     }
   }
 
-  /** A copy of all counts. */
+  /** Returns a copy of all counts. */
   read (): AccountRows {
     return structuredClone(Object.fromEntries(this.rows))
   }
 
-  /** A copy of all times. */
+  /** Returns a copy of all times. */
   readTimes (): AccountTimes {
     return structuredClone(Object.fromEntries(this.times))
   }
 
-  /** Everything counted until now, as of the wall-clock `date`. */
+  /** Returns all counts so far, stamped with the wall-clock time `date` in ms. */
   readSample (date: number): AccountSample {
     return { rows: this.read(), times: this.readTimes(), askedOnline: this.askedOnline, date }
   }
 
-  /** Calls `listener` at each online request that is asked for. */
+  /** Calls `listener` on each online request. */
   subscribe (listener: () => void): void {
     this.listeners.add(listener)
   }
--- a/src/admission/add-counts.ts
+++ b/src/admission/add-counts.ts
@@ -2,7 +2,7 @@
 import { addTallies } from './add-tallies.js'
 import { noCounts } from './no-counts.js'
 
-/** The sum of two rows' counts; with `sign` -1 their difference. */
+/** Returns the sum of the counts of two rows; with `sign` -1 their difference. */
 export function addCounts (first: Partial<AccountCounts> = {}, second: Partial<AccountCounts> = {}, sign: 1 | -1 = 1): AccountCounts {
   const [a, b] = [{ ...noCounts, ...first }, { ...noCounts, ...second }]
   return {
--- a/src/admission/add-rows.ts
+++ b/src/admission/add-rows.ts
@@ -2,7 +2,7 @@
 import type { AccountRows } from './account-rows.js'
 import { addCounts } from './add-counts.js'
 
-/** The sums of two sets of rows; with `sign` -1 their difference, rows without any left out. */
+/** Returns the sums of two sets of rows; with `sign` -1 their differences. Rows without counts are left out. */
 export function addRows (a: AccountRows, b: AccountRows, sign: 1 | -1 = 1): AccountRows {
   const sum: Record<string, AccountCounts> = { ...a }
   for (const [key, counts] of Object.entries(b)) {
--- a/src/admission/add-tallies.ts
+++ b/src/admission/add-tallies.ts
@@ -1,4 +1,4 @@
-/** The sums of two tallies; with `sign` -1 their difference. What comes to none is left out. */
+/** Returns the sums of two tallies; with `sign` -1 their differences. Zeros are left out. */
 export function addTallies (a: Readonly<Record<string, number>>, b: Readonly<Record<string, number>>, sign: 1 | -1 = 1): Readonly<Record<string, number>> {
   const sum: Record<string, number> = { ...a }
   for (const [name, count] of Object.entries(b)) {
--- a/src/admission/add-times.ts
+++ b/src/admission/add-times.ts
@@ -1,7 +1,7 @@
 import type { AccountTimes } from './account-times.js'
 import { addTallies } from './add-tallies.js'
 
-/** The sums of two sets of times; with `sign` -1 their difference. */
+/** Returns the sums of two sets of times; with `sign` -1 their differences. */
 export function addTimes (a: AccountTimes, b: AccountTimes, sign: 1 | -1 = 1): AccountTimes {
   const sum: Record<string, Readonly<Record<string, number>>> = { ...a }
   for (const [key, tally] of Object.entries(b)) {
--- a/src/admission/busy-shares.ts
+++ b/src/admission/busy-shares.ts
@@ -2,7 +2,7 @@
 
 interface Holder { readonly caller: string, readonly service: string, readonly share: number }
 
-/** What a caller got of a busy minute, and what it was entitled to, ms of server time. */
+/** Server time that a caller used in a busy minute, and what its share entitled it to, ms. */
 interface Entitlement { readonly caller: string, readonly service: string, readonly got: number, readonly entitled: number }
 
 interface Usage extends Holder { got: number, waited: boolean }
@@ -10,8 +10,8 @@
 const MINUTE = 60_000
 
 /**
- * Compares, for the minutes in which requests of a pool waited at this daemon, what each caller got with what its share
- * entitled it to. Minutes in which nobody waited say nothing about shares and are left out.
+ * Compares what each caller used with what its share entitled it to, over the minutes in which requests of a pool waited at
+ * this daemon. Other minutes are left out, because shares have no effect in them.
  */
 export class BusyShares {
   private usage = new Map<string, Usage>()
@@ -21,17 +21,17 @@
     this.begin = now
   }
 
-  /** A place was held for `time` ms. */
+  /** Records that a request held a slot for `time` ms. */
   record (holder: Holder, time: number): void {
     this.read(holder).got += time
   }
 
-  /** A request had to wait. */
+  /** Records that a request had to wait. */
   recordWait (holder: Holder): void {
     this.read(holder).waited = true
   }
 
-  /** What is to be counted of a minute that has ended. */
+  /** Returns the usage of each caller in a minute that has ended; empty before its end, or if no request waited. */
   take (now: number): readonly Entitlement[] {
     if (now < this.begin + MINUTE) return []
     const usages = [...this.usage.values()]
@@ -42,7 +42,7 @@
     return usages.map(({ caller, service, got }, i) => ({ caller, service, got, entitled: entitled[i]! }))
   }
 
-  /** A caller that asks for several services of a pool has its share once, and is counted under the first it asked for. */
+  /** Returns the usage of a caller. A caller that uses several services of a pool has one share, and is counted under the first of them. */
   private read (holder: Holder): Usage {
     const known = this.usage.get(holder.caller) ?? { ...holder, got: 0, waited: false }
     this.usage.set(holder.caller, known)
--- a/src/admission/demand-meter.ts
+++ b/src/admission/demand-meter.ts
@@ -1,16 +1,16 @@
 import type { PoolDemand } from './pool-demand.js'
 
-/** Of what was newly asked in a period, what goes into the rate. */
+/** Weight of the last period in the smoothed values. */
 const SMOOTHING = 0.3
-/** Callers told of by name; the others are summed. */
+/** Callers reported by name; the others are summed. */
 const MAX_NAMED_CALLERS = 16
 
-/** Places below which a caller asks for nothing. */
+/** Demand in slots below which a caller is dropped. */
 const MIN_SLOTS = 0.01
 
 interface CallerDemand { share: number, count: number, rate: number, waiting: number }
 
-/** How many requests each caller sends through one daemon to one pool, refused ones too: what it would use. */
+/** Estimates the demand of each caller for one pool at one daemon, including refused requests. */
 export class DemandMeter {
   private readonly callers = new Map<string, CallerDemand>()
 
@@ -22,9 +22,9 @@
   }
 
   /**
-   * Ends a period of `period` ms; gives the places wanted by those who want most: what they ask, each held for `hold` ms
-   * (Little's law), and what waits. Callers that send the next request once the last is answered ask for no more than
-   * they get, and would be given no more; what they have waiting shows that they want it.
+   * Ends a period of `period` ms and returns the demand in slots, of the callers with the highest demand by name. It is the
+   * rate of requests times `holdTime` ms (Little's law), plus the requests waiting. These are included because a caller that
+   * sends its next request only after an answer never requests more than it is given.
    */
   read (period: number, holdTime: number, waiting: ReadonlyMap<string, number> = new Map()): PoolDemand {
     for (const [caller, asked] of this.callers) {
--- a/src/admission/estimate-missing.ts
+++ b/src/admission/estimate-missing.ts
@@ -3,14 +3,14 @@
 
 type FlushState = Pick<AccountPart, 'closed' | 'mayMiss' | 'highestRate' | 'period' | 'lead'>
 
-/** Least rate to reckon with, online requests a second: a run that was just started has seen none. */
+/** Lowest rate assumed, online requests per second: a run that has just started has no history. */
 const MIN_RATE = 25
 
 /**
- * How many online requests a part may lack, at most. One that its run has closed lacks none, and of one that others have
- * closed they have said it. One that isn't closed: as many as it had said to set off its next flush, and what comes at
- * the highest rate seen, twice over, while that flush is under way; in an outage of the platform, of which `gap` ms is
- * the longest one known, what comes in that time.
+ * Estimates how many online requests a part may lack, at most. A part closed by its run lacks none, and a part closed by other
+ * daemons states its bound. An open part may lack the requests that start its next flush, and those that arrive during that
+ * flush, at twice the highest rate so far. After an outage of the platform, of which `gap` ms is the longest known, it may also
+ * lack those that arrived during it.
  */
 export function estimateMissing ({ closed, mayMiss = 0, highestRate, period, lead }: FlushState, gap: number): number {
   if (closed) return mayMiss
--- a/src/admission/fair-queue-event.ts
+++ b/src/admission/fair-queue-event.ts
@@ -1,11 +1,11 @@
 /**
- * What changes a fair queue. `cost` is the time, in ms, for which a request is expected to hold its place, and
- * `share` the weight of its caller.
- * - `admitted`: let in without a wait, because there was a place and nobody waited.
- * - `queued`: waits.
- * - `taken`: the first one waiting is let in.
- * - `dropped`: gave up waiting, and had nothing.
- * - `held`: the place was held for `excess` ms more than expected, or fewer if negative.
+ * An event of a fair queue. `cost` is the time for which a request is expected to hold its slot, ms, and `share` the weight of
+ * its caller.
+ * - `admitted`: admitted without waiting, because a slot was free and no request waited.
+ * - `queued`: starts to wait.
+ * - `taken`: the first waiting request is admitted.
+ * - `dropped`: removed from the queue without having been admitted.
+ * - `held`: the slot was held for `excess` ms longer than expected, or shorter if negative.
  */
 export type FairQueueEvent =
   | { readonly type: 'admitted', readonly caller: string, readonly share: number, readonly cost: number }
--- a/src/admission/gate.ts
+++ b/src/admission/gate.ts
@@ -19,19 +19,20 @@
 import { PoolQueue } from './pool-queue.js'
 import type { Refusal } from './refusal.js'
 
+/** Lower limit of the retry time in a refusal, ms. */
 const MIN_RETRY_AFTER = 1_000
 const DEFAULT_SHARE = 1
-/** How often places that nothing told us of are looked for while requests wait, ms. */
+/** Period of the checks for free slots while requests wait, ms: some slots become free without a notification. */
 const RECHECK_PERIOD = 20
-/** How often it is looked whether a busy minute has ended, ms. */
+/** Period of the checks whether a busy minute has ended, ms. */
 const SHARE_COUNT_PERIOD = 10_000
 
 type Answer = Result<ServerAnswer, Refusal>
 
 /**
- * Lets online requests in, each caller within its share, and sends them on. While servers have places nobody waits;
- * otherwise requests wait here, briefly and in a fair order, rather than in an engine's queue, which knows neither
- * callers nor deadlines and can't be left once entered. The rest get their refusal at once.
+ * Admits online requests, each caller within its share, and dispatches them. While servers have capacity, no request waits.
+ * Otherwise requests wait here, for a short time and in a fair order, rather than in the queue of an engine, which has no
+ * notion of callers or deadlines and can't be left. Requests that can't be admitted in time are refused at once.
  */
 @scoped(Lifecycle.ContainerScoped)
 export class Gate implements Part {
@@ -80,8 +81,8 @@
   }
 
   /**
-   * The queue may refuse at once, while the request is put in. Nothing waits then and no timer is set: it would settle
-   * the request once more when the longest wait has passed, and the account would show a wait that there wasn't.
+   * Queues a request. The queue may refuse it while it is being added. No timer is set then: it would settle the request a
+   * second time after the longest wait, and the account would show a wait that didn't happen.
    */
   private async wait (queue: PoolQueue, share: number, request: ServerRequest): Promise<Answer> {
     const asked = this.clock.now()
@@ -120,7 +121,7 @@
     this.timeline.record({ part: 'gate', what: 'waited', request: id, detail: `${Math.round(time)} ms` })
   }
 
-  /** Sends it and, at its end, settles what its place has cost. */
+  /** Dispatches an admitted request and, when it ends, settles the cost of its slot. */
   private async run (queue: PoolQueue, share: number, request: ServerRequest, cost: number): Promise<Answer> {
     const begin = this.clock.now()
     let settled = false
@@ -143,7 +144,7 @@
     return Ok({ ...answer.val, end })
   }
 
-  /** Whether requests wait still. */
+  /** Admits waiting requests while slots are free. Returns whether any still wait. */
   private admitWaiting (): boolean {
     for (const queue of this.queues.values()) {
       while (queue.peek()?.hasCapacity() === true) queue.take()
--- a/src/admission/is-day.ts
+++ b/src/admission/is-day.ts
@@ -1,4 +1,4 @@
-/** Whether the text is a day of the calendar as YYYY-MM-DD. */
+/** Returns whether `text` is a calendar day as YYYY-MM-DD. */
 export function isDay (text: string): boolean {
   if (!/^\d{4}-\d\d-\d\d$/.test(text)) return false
   const date = new Date(text)
--- a/src/admission/merge-account.ts
+++ b/src/admission/merge-account.ts
@@ -12,7 +12,7 @@
   /** By name. */
   readonly parts: Readonly<Record<string, AccountPart>>
   readonly days: readonly AccountDay[]
-  /** Names of parts that lack nothing although they aren't closed: their runs have just told what they hold. */
+  /** Names of open parts that lack nothing, because their runs have just reported their counts. */
   readonly fresh?: ReadonlySet<string>
   /** First and last day to count, as YYYY-MM-DD. */
   readonly since?: string
@@ -20,7 +20,7 @@
   readonly caller?: string
 }
 
-/** Adds up parts and days, each part once: one that is being folded stands in both, shard by shard. */
+/** Adds up parts and days, each part once: a part that is being folded is in both, shard by shard. */
 export function mergeAccount ({ parts, days, fresh = new Set(), since = '', until = '9', caller }: MergeOptions): MergedAccount {
   const counted = days.filter(({ day }) => day >= since && day <= until)
   const open = Object.entries(parts).filter(([, { day }]) => day >= since && day <= until)
@@ -34,7 +34,7 @@
     rows.push(folded.size === 0 ? part.rows : Object.fromEntries(Object.entries(part.rows).filter(([key]) => !folded.has(findShard(key)))))
     const isFolded = folded.has(findShard(name))
     if (!isFolded) times = addTimes(times, part.times)
-    // The day has it already of a part that others have closed.
+    // If other daemons have closed the part, its day already includes the bound.
     const missed = fresh.has(name) || (isFolded && part.closed) ? 0 : estimateMissing(part, gap)
     if (missed === 0) continue
     missing.push(missed)
--- a/src/admission/merge-part.ts
+++ b/src/admission/merge-part.ts
@@ -14,13 +14,13 @@
 type StoredPart = StoredObject<AccountPart>
 
 /**
- * Closes a part, adds it to its day, shard by shard, and deletes it. Each shard names the parts that it holds, in the
- * same write as the sums: whoever stops half way, or does it at the same time as another, adds nothing twice. Says
- * whether it is done; if not, a later call goes on.
+ * Closes a part, adds it to its day, shard by shard, and deletes it. Each shard names the parts that it holds in the same write
+ * as the totals, so that a daemon that stops half way, or two daemons at once, add nothing twice. Returns whether it is done;
+ * if not, a later call continues.
  *
- * The run may only have stood still. Were its part folded open, it would go on writing into it, and what it writes after
- * a shard was written would be in none, as shards that name the part count in its place. Closed by a conditional update,
- * the part has one last state: whoever folds, folds that, and the run's next write fails and begins a new part.
+ * The run may only have been paused. If its part were folded while open, the run would continue writing to it, and what it
+ * wrote after a shard was updated would be lost: a shard that names the part replaces it. Closing the part by a conditional
+ * update fixes its final state, which every daemon folds, and the next write of the run fails and begins a new part.
  */
 export async function mergePart (store: ObjectStore, part: StoredPart): Promise<boolean> {
   const closed = await closePart(store, part)
@@ -29,7 +29,7 @@
   return (await store.delete(PART, part.name, closed.version, 'background')).ok
 }
 
-/** Undefined where it was written since it was read, or the platform doesn't say that it is closed. */
+/** Returns the closed part, or undefined if the part was written since it was read or the platform didn't confirm the update. */
 async function closePart (store: ObjectStore, part: StoredPart): Promise<StoredPart | undefined> {
   const { name, version, value } = part
   if (value.closed) return part
@@ -38,7 +38,7 @@
   return written.ok ? { ...part, version: written.val.version, value: closed } : undefined
 }
 
-/** What it adds to each shard; what it isn't by caller goes to its own one. */
+/** Splits a part by the shards it is added to. Figures that are not by caller go to the shard of its own name. */
 function splitPart ({ name, value }: StoredPart): readonly AccountDay[] {
   const { day, times, sample, longestGap } = value
   const own = findShard(name)
--- a/src/admission/merge-reported.ts
+++ b/src/admission/merge-reported.ts
@@ -4,21 +4,20 @@
 type Parts = Readonly<Record<string, AccountPart>>
 
 interface MergedParts {
-  /** The platform's parts with what daemons told in their place where that is newer. */
+  /** The stored parts, replaced by reported ones where these are newer. */
   readonly parts: Parts
   /** Parts that lack nothing. */
   readonly fresh: ReadonlySet<string>
 }
 
 /**
- * Puts what daemons have told of their parts in place of what the platform has. Told counts are whole counts of their
- * rows, not additions: what was flushed between question and read stands in both, and the higher number wins, so that
- * no order of events counts it twice. Two kinds of parts are left as the platform has them, and said to lack some: one
- * that it has closed with less than was told, and one that was folded, because their run goes on in the next part with
- * what they lack, and that may have been read as well.
+ * Replaces stored parts by what daemons have reported of them. Reported counts are totals of their rows and not increments:
+ * counts that were flushed between query and read are in both, and the higher `sample` wins, so that none is counted twice. Two
+ * kinds of parts are kept as stored and marked as incomplete: a part that was closed with less than was reported, and a part
+ * that was folded. Their runs continue in the next part with what they lack, and that part may have been read as well.
  *
- * The question must be asked before the platform is read: of a run that begins a new part in between, what is told is
- * older, and what is read has all of it.
+ * Daemons must be queried before the platform is read: if a run begins a new part in between, the report is older and the read
+ * is complete.
  */
 export function mergeReported (read: Parts, days: readonly AccountDay[], reported: Parts): MergedParts {
   const folded = new Set(days.flatMap(day => day.folded))
--- a/src/admission/plan-flush.ts
+++ b/src/admission/plan-flush.ts
@@ -1,11 +1,12 @@
 import { accountLimits } from './account-limits.js'
 
-/** When a daemon flushes: after so many ms, or at once after so many online requests. */
+/** The next flush is due after `period` ms or `lead` online requests. */
 interface FlushPlan { readonly period: number, readonly lead: number }
 
 /**
- * Flushes as rare as the fleet is large, so that all daemons together make no more writes than `fleetWrites` a second.
- * `lead` bounds how many online requests a daemon may be ahead of what the platform knows, and is what a kill can cost.
+ * Plans the flushes of a daemon. The larger the fleet, the longer the period, so that all daemons together flush no more than
+ * `fleetWriteRate` times a second. `lead` bounds the online requests of a daemon that the platform doesn't have yet, and so
+ * what a kill can lose.
  */
 export function planFlush (daemons: number): FlushPlan {
   const { flushPeriod, maxUnflushed, fleetWriteRate, daemonRequestRate } = accountLimits
--- a/src/admission/pool-allocation.ts
+++ b/src/admission/pool-allocation.ts
@@ -1,7 +1,7 @@
-/** What one daemon may use of a pool while callers ask for more than there is. */
+/** What one daemon may use of a pool while demand exceeds its capacity. */
 export interface PoolAllocation {
-  /** Of the pool's places, between 0 and 1. */
+  /** Fraction of the capacity of the pool, between 0 and 1. */
   readonly fraction: number
-  /** By caller: what its share is multiplied by at this daemon, where it asks through some daemons more than others. */
+  /** By caller: factor on its share at this daemon, for callers that use some daemons more than others. */
   readonly factors: ReadonlyMap<string, number>
 }
--- a/src/admission/pool-demand.ts
+++ b/src/admission/pool-demand.ts
@@ -1,5 +1,5 @@
 /**
- * What callers ask of one pool through one daemon: places they would hold, by caller, with their shares. Those too many
- * to name are summed under the empty name.
+ * The demand of callers for one pool at one daemon: the slots that they would hold, by caller, with their shares. Callers that
+ * are not reported by name are summed under the empty name.
  */
 export type PoolDemand = ReadonlyMap<string, { readonly share: number, readonly slots: number }>
--- a/src/admission/pool-queue.ts
+++ b/src/admission/pool-queue.ts
@@ -3,24 +3,25 @@
 import type { FairQueueState } from './fair-queue-state.js'
 import { stepFairQueue } from './step-fair-queue.js'
 
+/** Weight of the last request in the expected hold time. */
 const COST_SMOOTHING = 0.05
-/** Expected time of a place before any was held, ms. */
+/** Expected hold time before any request has ended, ms. */
 const INITIAL_COST = 200
 
-/** A request that waits, as the queue knows it. Times in monotonic ms. */
+/** A waiting request. Times in monotonic ms. */
 interface WaitingRequest {
   readonly caller: string
   readonly share: number
   readonly deadline: number
-  /** Whether there is a place for it now. */
+  /** Returns whether a server has a free slot for it. */
   readonly hasCapacity: () => boolean
-  /** Lets it in. */
+  /** Admits it. */
   readonly start: (cost: number) => void
   readonly refuse: (cause: Refusal['cause'], retryAfter: number) => void
 }
 
 interface PoolQueueOptions {
-  /** Requests that may wait at once. */
+  /** Maximum number of waiting requests. */
   readonly capacity?: number
   /** Longest wait, ms. */
   readonly longestWait: () => number
@@ -29,10 +30,9 @@
 type QueueEntry = WaitingRequest & { readonly cost: number }
 
 /**
- * The requests of one pool that wait for a place. One that wouldn't be let in before its deadline or within the
- * longest wait is refused as it comes, and so is the last of the caller furthest over its share once the queue is
- * full: a caller that sends ten times its share fills the queue with its own requests, which would otherwise keep
- * those of others out.
+ * The requests of one pool that wait for a slot. A request that would not be admitted before its deadline or within the longest
+ * wait is refused on arrival. When the queue is full, the last request of the caller furthest over its share is refused: a
+ * caller that sends ten times its share fills the queue with its own requests, which would otherwise keep out those of others.
  */
 export class PoolQueue {
   private state: FairQueueState = { virtualTime: 0, usedUntil: new Map(), waiting: [] }
@@ -43,7 +43,7 @@
 
   constructor (private readonly options: PoolQueueOptions) {}
 
-  /** Expected time of a place, ms. */
+  /** Expected time for which a request holds its slot, ms. */
   get holdTime (): number {
     return this.cost
   }
@@ -52,21 +52,21 @@
     return this.state.waiting.length
   }
 
-  /** By caller: requests that wait. */
+  /** Returns the number of waiting requests by caller. */
   countWaiting (): ReadonlyMap<string, number> {
     const counts = new Map<string, number>()
     for (const { caller } of this.state.waiting) counts.set(caller, (counts.get(caller) ?? 0) + 1)
     return counts
   }
 
-  /** Counts a request that is let in without a wait; gives back what its place is expected to cost. */
+  /** Records a request that is admitted without waiting. Returns the expected cost of its slot, ms. */
   admit (caller: string, share: number): number {
     this.inFlight++
     this.apply({ type: 'admitted', caller, share, cost: this.cost })
     return this.cost
   }
 
-  /** Puts the request in, or refuses it or another one at once. The function it gives back takes it out. */
+  /** Adds a request, and refuses it or another one at once if necessary. Returns a function that removes it. */
   add (waiting: WaitingRequest, now: number): () => void {
     const id = this.ids++
     this.entries.set(id, { ...waiting, cost: this.cost })
@@ -78,13 +78,13 @@
     return () => this.drop(id)
   }
 
-  /** The request to let in next. */
+  /** Returns the request to admit next. */
   peek (): WaitingRequest | undefined {
     const first = this.state.waiting[0]
     return first && this.entries.get(first.id)
   }
 
-  /** Lets the first request in. */
+  /** Admits the first request. */
   take (): void {
     const first = this.state.waiting[0]
     if (first === undefined) return
@@ -95,7 +95,7 @@
     start(cost)
   }
 
-  /** Corrects what a caller is charged once its place was held for `time` ms rather than `cost`. */
+  /** Corrects the charge of a caller whose slot was held for `time` ms instead of `cost`. */
   settle (caller: string, share: number, { cost, time }: { readonly cost: number, readonly time: number }): void {
     this.inFlight--
     this.cost += (time - this.cost) * COST_SMOOTHING
@@ -109,7 +109,10 @@
     entry?.refuse(cause, this.estimateWait(this.size + 1))
   }
 
-  /** Time until that many more are let in, ms: places in use, each given back after its usual time (Little's law). */
+  /**
+   * Estimates the time until `ahead` more requests are admitted, ms: each slot in use becomes free after the expected hold time
+   * (Little's law).
+   */
   estimateWait (ahead: number): number {
     return ahead * this.cost / Math.max(1, this.inFlight)
   }
--- a/src/admission/pool-shares.ts
+++ b/src/admission/pool-shares.ts
@@ -15,25 +15,26 @@
 import type { PoolAllocation } from './pool-allocation.js'
 import { splitPool } from './split-pool.js'
 
+/** Shortest period between two reports, ms. */
 const SHORTEST_PERIOD = 500
-/** Added to the period for each daemon, ms, so that the one that splits sends the same bytes in any fleet. */
+/** Added to the period for each daemon, ms, so that the bandwidth of the daemon that splits a pool doesn't grow with the fleet. */
 const PERIOD_PER_DAEMON = 100
-/** Periods for which a pool counts as crowded after the last word of it. */
+/** Periods for which a pool counts as crowded after the last report that it is. */
 const CROWDED_PERIODS = 4
 /**
- * Periods for which what a daemon told, and a part that it was told, hold. A daemon that stands still for seconds is still a
- * member; had its word lapsed, all parts would be even until it tells again, and callers that use one daemon lose theirs
- * each time. This is longer than members need to find that one is gone, and then its word goes with it.
+ * Periods for which a reported demand and a received allocation are valid. A daemon that is paused for seconds is still a
+ * member; if its report expired, all allocations would be even until its next one, and callers that use one daemon would lose
+ * theirs each time. The time is longer than members take to detect that a daemon is gone, and its report is dropped then.
  */
 const VALID_PERIODS = 16
 
-/** Places that a daemon keeps of a pool though its callers ask for none now. */
+/** Slots of a pool that a daemon keeps even if its callers have no demand. */
 const MIN_SLOTS = 2
 
 interface DemandSource {
-  /** Expected time of a place, ms. */
+  /** Expected time for which a request holds its slot, ms. */
   readonly holdTime: number
-  /** By caller: requests that wait. */
+  /** Returns the number of waiting requests by caller. */
   countWaiting (): ReadonlyMap<string, number>
 }
 
@@ -44,19 +45,19 @@
   allocation?: PoolAllocation & { readonly until: number }
 }
 
-/** Another daemon's demand, at the one that splits the pool. */
+/** The demand that a daemon reported to the one that splits the pool. */
 interface ReportedDemand { readonly demand: PoolDemand, readonly at: number }
 
 interface Split { readonly demands: Map<string, ReportedDemand>, crowdedUntil: number }
 
 /**
- * Makes shares hold over several daemons. Each gate is fair among the requests that come to it, and each daemon has an
- * even part of the servers' places: callers that use one daemon only, beside one that uses all, got a third of their
- * shares. While requests wait anywhere for a pool, each daemon tells one of them, by rendezvous, what its callers ask;
- * that one splits the pool by it (`splitPool`) and tells each daemon its part. Nothing is told while nobody waits.
+ * Applies shares across daemons. Each gate is fair only among its own requests, and by default each daemon has an even part of
+ * the capacity, so that a caller that uses one daemon gets less than its share beside one that uses all. While requests wait
+ * anywhere for a pool, each daemon reports the demand of its callers to one daemon, chosen by rendezvous hashing. That daemon
+ * splits the pool by demand (`splitPool`) and sends each daemon its allocation. Nothing is sent while no request waits.
  *
- * Nothing here has to be right for a promise to hold: parts that lapse, or that two daemons split, cost fairness for a
- * few periods, and a server's limit is exceeded by no more than the parts told twice.
+ * No guarantee depends on this. Allocations that expire, or that two daemons send, cost fairness for a few periods, and a
+ * server's limit is exceeded by no more than what was allocated twice.
  */
 @scoped(Lifecycle.ContainerScoped)
 export class PoolShares implements Part {
@@ -88,7 +89,7 @@
     this.cancel()
   }
 
-  /** Notes a request that came to this daemon; `waits` where it found no place. */
+  /** Records a request at this daemon; `waits` if it found no free slot. */
   count (pool: string, caller: string, { share, queue, waits }: { readonly share: number, readonly queue: DemandSource, readonly waits: boolean }): void {
     const state = this.pools.get(pool) ?? { meter: new DemandMeter(), crowded: false }
     this.pools.set(pool, state)
@@ -97,7 +98,7 @@
     state.crowded ||= waits
   }
 
-  /** What the caller's share is multiplied by at this daemon. */
+  /** Returns the factor on the share of a caller at this daemon. */
   getFactor (pool: string, caller: string): number {
     const allocation = this.pools.get(pool)?.allocation
     return allocation === undefined || allocation.until <= this.clock.now() ? 1 : allocation.factors.get(caller) ?? 1
@@ -148,7 +149,10 @@
     if (crowded === true) split.crowdedUntil = now + CROWDED_PERIODS * this.readPeriod()
   }
 
-  /** Until every daemon has told, its part stays the even one: what isn't known may be all that it has. */
+  /**
+   * Splits a pool and sends the allocations. They are even until every daemon has reported: a daemon that hasn't may be using
+   * all of its part.
+   */
   private split (pool: string, { demands, crowdedUntil }: Split): void {
     const now = this.clock.now()
     const owners = this.members.owners()
@@ -179,7 +183,7 @@
     const state = this.pools.get(pool) ?? { meter: new DemandMeter(), crowded: false }
     this.pools.set(pool, state)
     const rows = factors as ReadonlyArray<readonly [string, number]>
-    // A caller that asks next to nothing here keeps a little of its share for when it asks again.
+    // A caller with hardly any demand here keeps a little of its share for its next requests.
     state.allocation = { fraction, until: this.clock.now() + VALID_PERIODS * this.readPeriod(), factors: new Map(rows.map(([caller, factor]) => [caller, Math.max(0.01, factor / 1_000)])) }
     this.servers.setFraction(pool, Math.max(fraction, MIN_SLOTS / (this.servers.sumLimits(pool) ?? Infinity)))
   }
--- a/src/admission/queued-request.ts
+++ b/src/admission/queued-request.ts
@@ -1,7 +1,7 @@
-/** A request that waits for a place. */
+/** A request that waits for a slot. */
 export interface QueuedRequest {
   readonly id: number
   readonly caller: string
-  /** Virtual time at which its caller's share entitles it to begin. */
+  /** Virtual time at which the share of its caller entitles it to start. */
   readonly start: number
 }
--- a/src/admission/read-all.ts
+++ b/src/admission/read-all.ts
@@ -3,10 +3,10 @@
 import type { StoreError } from '../store/store-error.js'
 import type { StoredObject } from '../store/stored-object.js'
 
-/** Small: a page is parsed in one go, during which nothing else runs, and an object may have up to 1 MB. */
+/** Objects in a page. An object may have up to 1 MB, and parsing a page blocks the event loop. */
 const PAGE = 20
 
-/** All objects of a kind whose names begin with `prefix`, page by page. */
+/** Reads all objects of a kind whose names begin with `prefix`, page by page. */
 export async function readAll<T> (store: ObjectStore, kind: string, prefix = ''): Promise<Result<readonly StoredObject<T>[], StoreError>> {
   const all: StoredObject<T>[] = []
   for (;;) {
--- a/src/admission/refusal.ts
+++ b/src/admission/refusal.ts
@@ -1,6 +1,6 @@
 /**
- * The final answer to a request that is given up. `ran` is `not run` only where no byte of it was sent to a
- * server; otherwise its outcome is `unknown`. `retryAfter` tells in ms when to come back.
+ * The final answer to a request that is not served. `ran` is `not run` only if no byte of it was sent to a server; otherwise
+ * its outcome is `unknown`. `retryAfter` is the time after which to retry, ms.
  */
 export interface Refusal {
   readonly cause: 'overloaded' | 'no server' | 'deadline' | 'server failed' | 'quarantined' | 'draining' | 'platform'
--- a/src/admission/split-entitlements.ts
+++ b/src/admission/split-entitlements.ts
@@ -1,10 +1,10 @@
-/** What one caller had of a pool in one minute: its share, server time it got, and whether a request of it waited. */
+/** The share of one caller, the server time it used in a minute, and whether any of its requests waited. */
 interface CallerUsage { readonly share: number, readonly got: number, readonly waited: boolean }
 
 /**
- * What each caller's share entitles it to of all server time that was given: max-min fair by weight. One that never
- * waited had all it asked for, so what it left of its part goes to the others; without that a caller that asks little
- * would look cheated. The parts add up to what was given.
+ * Splits the server time that was used by the shares of the callers: weighted max-min fairness. A caller that never waited had
+ * all it asked for, so what it left of its part goes to the others; otherwise a caller with little demand would seem to get
+ * less than its share. The parts add up to the time used.
  */
 export function splitEntitlements (usages: readonly CallerUsage[]): readonly number[] {
   const entitled = usages.map(() => 0)
--- a/src/admission/split-pool.ts
+++ b/src/admission/split-pool.ts
@@ -1,27 +1,24 @@
 import type { PoolDemand } from './pool-demand.js'
 import type { PoolAllocation } from './pool-allocation.js'
 
-/**
- * Arrivals come in clumps: of the places asked for on average, these many square roots more are needed at times. What
- * is not used is lent.
- */
+/** Requests arrive in bursts: beyond the mean demand, this many square roots of it are needed at times. Unused slots are lent out. */
 const BURST_FACTOR = 1.5
 
-/** Of what it is granted, the most that a caller that asks for more than its share leaves to the clumps of the others. */
+/** Largest fraction of its grant that a caller with a demand above its share cedes to the bursts of others. */
 const MAX_CEDED = 0.5
 
-/** `mean` is what is asked for on average, `places` what is needed at times. */
+/** Demand in slots: `mean` on average, `peak` in a burst. */
 interface CallerDemand { readonly key: string, readonly share: number, readonly mean: number, readonly peak: number }
 
 /**
- * Splits a pool's places among daemons by what callers ask through each. First among callers, by weighted max-min: who
- * asks for less than its share gets that, and the others share the rest by their shares. Then each caller's places
- * among daemons, in proportion to what it asks there. Even parts give a caller what its daemons happen to have: one that
- * uses a single daemon, and shares it, got a third of what it was entitled to.
+ * Splits the capacity of a pool among daemons by the demand of callers at each. First among callers, by weighted max-min
+ * fairness: a caller that demands less than its share gets its demand, and the others divide the rest by their shares. Then the
+ * grant of each caller among daemons, in proportion to its demand there. Even parts would limit a caller that uses a single
+ * daemon to a share of that daemon's part.
  *
- * A caller within its share may need more than the share for a moment at one daemon, and what is lent comes too late for
- * that: counts of others are old by then. So it gets the places of its clumps from those who ask for more than their
- * shares, who miss nothing: what isn't used of them is lent to them at once.
+ * A caller within its share may briefly need more than its share at one daemon. Lending is too slow for that, because a
+ * daemon's counts of the others are outdated by then. So the slots for such bursts are ceded by callers that demand more than
+ * their shares. These lose nothing, as unused slots are lent to them at once.
  *
  * Source: max-min fairness, Bertsekas and Gallager, "Data Networks", 1992, section 6.5.
  */
@@ -39,7 +36,7 @@
   }))
 }
 
-/** Those not named are held for others at each daemon, and each for one that uses all daemons alike. */
+/** The unnamed callers of a daemon count as one caller, with its share divided as if it used all daemons alike. */
 function listDemands (demands: ReadonlyMap<string, PoolDemand>): readonly (CallerDemand & { readonly daemon: string, readonly caller: string })[] {
   return [...demands].flatMap(([daemon, demand]) => [...demand].filter(([, { slots }]) => slots > 0).map(([caller, { share, slots }]) => ({
     daemon,
@@ -60,7 +57,10 @@
   return sums
 }
 
-/** Weighted max-min: the callers who ask for least by their share are served first, and leave the rest to the others. */
+/**
+ * Grants slots by weighted max-min fairness: callers with the lowest demand for their share are served first, and what they
+ * leave goes to the others.
+ */
 function grantShares (asked: readonly CallerDemand[], capacity: number): ReadonlyMap<string, number> {
   const granted = new Map<string, number>()
   let left = capacity
@@ -74,7 +74,7 @@
   return granted
 }
 
-/** Moves places from callers that ask for more than they are granted to those whose clumps go beyond theirs. */
+/** Moves slots from callers with a mean demand above their grant to callers whose bursts exceed theirs. */
 function grantBursts (asked: readonly CallerDemand[], granted: ReadonlyMap<string, number>): ReadonlyMap<string, number> {
   const rows = asked.map(({ key, mean, peak }) => {
     const own = granted.get(key)!
--- a/src/admission/step-fair-queue.ts
+++ b/src/admission/step-fair-queue.ts
@@ -2,19 +2,19 @@
 import type { FairQueueEvent } from './fair-queue-event.js'
 import type { FairQueueState } from './fair-queue-state.js'
 
-/** Callers above which those who are owed nothing are forgotten. */
+/** Number of callers above which those without outstanding use are forgotten. */
 const MAX_TRACKED_CALLERS = 1_000
-/** Requests that a caller who was idle may have ahead of its share. */
+/** Requests that a caller which was idle may have ahead of its share. */
 const BURST = 10
 
 /**
- * Start-time fair queuing. Each request starts, in virtual time, where its caller's share is used up to, or now if
- * that is earlier, and the earliest start goes first: while several callers wait, each gets places in proportion to
- * its share, and one that has been idle goes ahead of one that hasn't, by no more than a short burst. Nobody waits
- * while there is a place, so that an idle share is lent out; it isn't paid back.
+ * Start-time fair queueing. Each request starts, in virtual time, at the end of what its caller has used of its share, but no
+ * earlier than a short burst before now, and the earliest start is admitted first. While several callers wait, each is admitted
+ * in proportion to its share, and one that has been idle goes ahead of the others by no more than the burst. No request waits
+ * while a slot is free: an idle share is lent out and not paid back.
  *
- * Source: Goyal, Vin and Cheng, "Start-time fair queueing", 1996. Costs are corrected when the place is given back,
- * since they aren't known at the start.
+ * Source: Goyal, Vin and Cheng, "Start-time fair queueing", 1996. Costs are corrected when the slot becomes free, because they
+ * aren't known at the start.
  */
 export function stepFairQueue (state: FairQueueState, event: FairQueueEvent): FairQueueState {
   switch (event.type) {
@@ -40,7 +40,7 @@
   }
 }
 
-/** Arrivals come in clumps: without the burst, a caller well below its share would wait for its own second request. */
+/** Requests arrive in bursts: without the allowance, a caller well below its share would wait behind its own previous request. */
 function findStart ({ virtualTime, usedUntil }: FairQueueState, { caller, share, cost }: { readonly caller: string, readonly share: number, readonly cost: number }): number {
   return Math.max(virtualTime - BURST * cost / share, usedUntil.get(caller) ?? 0)
 }
@@ -49,7 +49,7 @@
   return { ...state, usedUntil: new Map(state.usedUntil).set(caller, until) }
 }
 
-/** Gives its time back to its caller, whose later requests move up by as much. */
+/** Removes a request and returns its cost to the caller, whose later requests move forward by as much. */
 function drop (state: FairQueueState, { id, share, cost }: { readonly id: number, readonly share: number, readonly cost: number }): FairQueueState {
   const dropped = state.waiting.find(other => other.id === id)
   if (dropped === undefined) return state
@@ -60,7 +60,7 @@
   return use({ ...state, waiting }, caller, state.usedUntil.get(caller)! - cost / share)
 }
 
-/** A caller whose share isn't used up to now starts now whether or not it is known. */
+/** Forgets callers without outstanding use once there are too many. */
 function forget (state: FairQueueState): FairQueueState {
   if (state.usedUntil.size <= MAX_TRACKED_CALLERS) return state
   return { ...state, usedUntil: new Map([...state.usedUntil].filter(([, until]) => until > state.virtualTime)) }
--- a/test/admission/account-fold.test.ts
+++ b/test/admission/account-fold.test.ts
@@ -17,7 +17,7 @@
 /** More calls than a fold of five callers makes. */
 const CALLS = 24
 
-/** One run that others take for dead, and those who fold it. */
+/** One run that other daemons consider dead, and its folding. */
 class Scene {
   readonly store = new MemoryStore()
   readonly account = new Account()
@@ -32,7 +32,7 @@
     return await this.writer.flush(this.account.readSample(this.date))
   }
 
-  /** As each second, until it is written. */
+  /** Retries the flush until it succeeds. */
   async settle (): Promise<void> {
     for (let i = 0; i < 4; i++) if (await this.writer.flush(this.account.readSample(this.date))) return
   }
@@ -54,7 +54,7 @@
   return [counts.reduce((all, { asked }) => all + asked, 0), counts.reduce((all, { answered }) => all + answered, 0), whole]
 }
 
-/** The store as one folder sees it, which stands still at call `n` until `between` is over. */
+/** The store of one folding daemon, which is paused at call `n` until `between` is over. */
 function pauseAt (store: MemoryStore, n: number, between: () => Promise<void>): ObjectStore {
   let calls = 0
   return new Proxy(store, {
@@ -65,19 +65,19 @@
   })
 }
 
-/** What the platform does to a folder from its `n`th write on. */
+/** Faults of the platform from the `n`th write of a folding daemon on. */
 const ENDS = {
   'is killed before a write': (n: number, write: number) => write >= n ? { fail: UNAVAILABLE } : 'none',
   'is killed after a write whose reply it never saw': (n: number, write: number) => write === n ? { loseReply: UNKNOWN } : write > n ? { fail: UNAVAILABLE } : 'none',
   'loses one reply': (n: number, write: number) => write === n ? { loseReply: UNKNOWN } : 'none'
 } as const
 
-// An operator adds up who got what. A run stands still for an hour, its part is being folded, and the folder ends or
-// loses a reply at any of its writes. The run goes on, counts more and writes; then another folder goes on. Each count
-// must be there once, whoever looks when: rows of shards that name the part are taken from the day only.
+// A run is paused for an hour while its part is folded, and the folding daemon ends or loses a reply at any of its writes. The
+// run continues, counts more and writes; then another daemon continues the fold. Each count must be in the account once at any
+// time: rows of shards that name the part are taken from the day only.
 for (const [name, fault] of Object.entries(ENDS)) {
   for (let n = 0; n < 8; n++) {
-    test(`a folder ${name}, ${n}: the run that goes on is counted once`, async t => {
+    test(`a folding daemon ${name}, ${n}: the continuing run is counted once`, async t => {
       const scene = new Scene()
       await scene.work()
       let write = 0
@@ -96,9 +96,9 @@
   }
 }
 
-// Two folders at once, as while members disagree: one stands still at any of its calls, in which time the run goes on
-// and another folds it with what it has written since. Afterwards the first goes on with what it had read.
-test('two folders of which one stands still at any call add each count once', async t => {
+// Two daemons fold at once, as while members disagree. One is paused at any of its calls, in which time the run continues and
+// the other folds what was written since. Then the first continues with what it had read.
+test('two folding daemons, of which one is paused at any call, add each count once', async t => {
   for (let n = 0; n < CALLS; n++) {
     const scene = new Scene()
     await scene.work()
@@ -115,10 +115,10 @@
   }
 })
 
-// A run is frozen while a write of its is under way: the platform has it, the run doesn't know. An hour later others
-// have folded the part and deleted it. What the run wrote last is in the day, and it must not write that once more.
+// A run is paused during a write that is stored without a reply. An hour later others have folded the part and deleted it. The
+// last write of the run is in the day, and the run must not write its counts again.
 for (const first of [true, false]) {
-  test(`a run whose ${first ? 'first' : 'later'} write was taken without a reply, and was folded, is counted once`, async t => {
+  test(`a run whose ${first ? 'first' : 'later'} write was stored without a reply, and was folded, is counted once`, async t => {
     const scene = new Scene()
     if (!first) await scene.work()
     scene.store.fault = ({ call }) => call === 'put' ? { loseReply: UNKNOWN } : 'none'
@@ -134,7 +134,7 @@
   })
 }
 
-test('a run that was closed by others is said to lack what it may, once, however far it is folded', async t => {
+test('the bound of a run that others closed is stated once, however far the run is folded', async t => {
   for (let n = 0; n < 8; n++) {
     const scene = new Scene()
     await scene.work()
--- a/test/admission/account-parts.test.ts
+++ b/test/admission/account-parts.test.ts
@@ -38,8 +38,8 @@
   fc.record({ type: fc.constant('fold' as const), faults: fc.array(fault, { maxLength: 12 }) })
 )
 
-// Flushes and folds fail before or after they took effect, at any point, and a run goes on after it was folded
-// because others took it for dead. An operator who adds up must see each count once: not none, not two.
+// Flushes and folds fail before or after they took effect, at any point, and a run continues after others considered it dead
+// and folded it. Each count must be in the account once.
 test('however flushes and folds fail, each count is in the account once', async t => {
   await t.notThrowsAsync(async () => await fc.assert(fc.asyncProperty(fc.array(step, { maxLength: 30 }), async steps => {
     const store = new MemoryStore()
@@ -70,7 +70,7 @@
   }), { seed: 7, numRuns: 3_000 }))
 })
 
-test('a run that was killed is said to lack as much as its last flush can be behind', async t => {
+test('the account states what a killed run may lack since its last flush', async t => {
   const store = new MemoryStore()
   const writer = new AccountWriter({ store, instance: 'entry-0', started: START })
   await writer.flush({ rows: {}, askedOnline: 300, date: START + 10_000 })
@@ -80,7 +80,7 @@
   t.is((await merge(store)).mayMiss.asked, 500)
 })
 
-test('a run that has closed lacks nothing', async t => {
+test('a run that closed its part lacks nothing', async t => {
   const store = new MemoryStore()
   const writer = new AccountWriter({ store, instance: 'entry-0', started: START })
   await writer.flush({ rows: {}, askedOnline: 300, date: START + 10_000 }, true)
--- a/test/admission/account-reported.test.ts
+++ b/test/admission/account-reported.test.ts
@@ -20,7 +20,7 @@
   { weight: 3, arbitrary: fc.record({ type: fc.constant('count' as const), caller: fc.constantFrom('a', 'b', 'c'), n: fc.integer({ min: 1, max: 3 }) }) },
   { weight: 3, arbitrary: fc.record({ type: fc.constant('flush' as const), pause: fc.constantFrom(1_000, 9_000), fault: fc.constantFrom('none', 'none', 'fail', 'lose reply'), closed: fc.constantFrom(false, false, true) }) },
   { weight: 1, arbitrary: fc.record({ type: fc.constant('fold' as const) }) },
-  { weight: 1, arbitrary: fc.record({ type: fc.constant('look at the day' as const) }) }
+  { weight: 1, arbitrary: fc.record({ type: fc.constant('check the day' as const) }) }
 )
 
 /** A run that counts, flushes past midnight, ends parts, loses replies, and is folded by others. */
@@ -32,7 +32,7 @@
 
   async step (each: typeof step extends fc.Arbitrary<infer T> ? T : never): Promise<void> {
     if (each.type === 'count') for (let i = 0; i < each.n; i++) this.account.count(each.caller, 'model', 'online', { type: 'asked' })
-    else if (each.type === 'look at the day') this.writer.endDay(this.account.readSample(this.date))
+    else if (each.type === 'check the day') this.writer.endDay(this.account.readSample(this.date))
     else if (each.type === 'fold') {
       for (const part of (await readAll<AccountPart>(this.store, 'account')).unwrap()) await mergePart(this.store, part)
     } else {
@@ -57,10 +57,10 @@
   }
 }
 
-// A daemon is asked what it hasn't flushed, and before the platform is read it counts more, flushes, ends its day or its
-// part, and is folded. The account must hold no count twice; and where no run is said to lack any, all that the daemon
-// had counted when it was asked.
-test('what is flushed between question and read is counted once', async t => {
+// A daemon is queried for its unflushed counts. Before the platform is read, it counts more, flushes, ends its day or its part,
+// and is folded. The account must hold no count twice and, unless it lists a run as incomplete, all that the daemon had counted
+// when it was queried.
+test('what is flushed between query and read is counted once', async t => {
   await t.notThrowsAsync(async () => await fc.assert(fc.asyncProperty(fc.array(step, { maxLength: 15 }), fc.array(step, { maxLength: 8 }), fc.array(step, { maxLength: 4 }), async (before, during, later) => {
     const run = new Run()
     for (const each of before) await run.step(each)
@@ -72,7 +72,7 @@
   }), { seed: 11, numRuns: 3_000 }))
 })
 
-test('with every daemon asked the account is exact and no run is said to lack any', async t => {
+test('when every daemon is queried, the account is exact and lists no run as incomplete', async t => {
   const run = new Run()
   await run.step({ type: 'flush', pause: 1_000, fault: 'none', closed: false })
   await run.step({ type: 'count', caller: 'a', n: 3 })
@@ -80,11 +80,11 @@
   t.deepEqual(await run.read({}, async () => {}), { asked: 0, exact: false })
 })
 
-test('what is told after midnight stands on the day on which it was counted', async t => {
+test('counts reported after midnight are on the day on which they were made', async t => {
   const run = new Run()
   await run.step({ type: 'count', caller: 'a', n: 3 })
   run.date += 10_000
-  await run.step({ type: 'look at the day' })
+  await run.step({ type: 'check the day' })
   await run.step({ type: 'count', caller: 'a', n: 2 })
   const asked = Object.values(run.peek()).map(({ day, rows }) => [day, rows['a/model/online']?.asked])
   t.deepEqual(asked, [['2026-12-02', 3], ['2026-12-03', 2]])
@@ -93,7 +93,7 @@
   t.deepEqual(written, [['2026-12-02', 3, true], ['2026-12-03', 2, false]])
 })
 
-// 63 of 380 daemons, a failure domain, don't answer. The others must not wait behind them, and each is asked once.
+// A failure domain, one daemon in six, doesn't answer. The others must not wait for it, and each is asked once.
 test('380 daemons are asked once each, 16 at a time', async t => {
   const names = Array.from({ length: 380 }, (_, i) => `entry-${i}`)
   const asked: string[] = []
--- a/test/admission/account-whole.test.ts
+++ b/test/admission/account-whole.test.ts
@@ -9,10 +9,10 @@
 const REQUESTS = 25
 const TOKENS = 4
 
-// While every daemon lives, the one asked gets from each what it hasn't flushed: the figures equal the engine's own log.
-// Then one daemon is killed with counts that it hasn't flushed, another one ends gracefully, and the third is asked
-// again. What lacks against the engine's own log must be what the killed one held, and no more than the account says.
-test('the account equals the engine\'s log but for what a killed daemon may have held, which it states', async t => {
+// While every daemon runs, the one asked collects the unflushed counts of all, and the figures equal the engine's own log. Then
+// one daemon is killed with unflushed counts, another one ends gracefully, and the third is asked again. What is missing
+// against the engine's log must be what the killed daemon held, and no more than the account states.
+test('the account equals the engine\'s log, except for a stated bound on what a killed daemon held', async t => {
   const fleet = await Fleet.start()
   t.teardown(async () => await fleet.stop())
   const [engine] = await Promise.all([
--- a/test/admission/account-writes.test.ts
+++ b/test/admission/account-writes.test.ts
@@ -3,7 +3,7 @@
 import { planFlush } from '../../src/admission/plan-flush.js'
 import { measureAccount } from '../helpers/measure-account.js'
 
-/** Callers that three addresses each send to one of 380 daemons: 6,800 × 3 / 380. */
+/** Callers of one of 380 daemons, where each of 6,800 callers uses three: 6,800 × 3 / 380. */
 const CALLERS = 54
 
 test('380 daemons at the target\'s peak write their accounts within bounds', async t => {
@@ -15,7 +15,7 @@
   t.true(small.writes > 38, 'what a small fleet\'s period would cost')
 })
 
-test('a fleet of today flushes as before; a larger one less often, and says how far ahead it may be', t => {
+test('a larger fleet flushes less often, and states a higher bound', t => {
   t.deepEqual(planFlush(8), { period: 10_000, lead: 200 })
   t.deepEqual(planFlush(380), { period: 64_000, lead: 1_600 })
 })
--- a/test/admission/busy-shares.test.ts
+++ b/test/admission/busy-shares.test.ts
@@ -4,7 +4,7 @@
 const desk = { caller: 'desk', service: 'berth', share: 3 }
 const kitchen = { caller: 'kitchen', service: 'labels', share: 1 }
 
-test('a minute in which requests waited counts what callers got beside what their shares give', t => {
+test('a minute in which requests waited returns usage and entitlement', t => {
   const shares = new BusyShares(0)
   shares.record(desk, 500)
   shares.record(kitchen, 500)
@@ -18,13 +18,13 @@
   t.deepEqual(shares.take(120_000), [])
 })
 
-test('a minute in which nobody waited says nothing about shares', t => {
+test('a minute in which no request waited returns nothing', t => {
   const shares = new BusyShares(0)
   shares.record(desk, 500)
   t.deepEqual(shares.take(60_000), [])
 })
 
-test('a caller that waited and got nothing is entitled to its part; one that never waited had all it asked for', t => {
+test('a caller that waited and got nothing is entitled to its part; one that never waited, to what it used', t => {
   const shares = new BusyShares(0)
   shares.recordWait(desk)
   shares.record(kitchen, 400)
--- a/test/admission/gate-model.test.ts
+++ b/test/admission/gate-model.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava'
 import { simulateGate, type Got } from '../helpers/simulate-gate.js'
 
-/** 16 places of 200 ms: 80 requests a second. */
+/** 16 slots of 200 ms: 80 requests a second. */
 const SERVERS = { places: 16, hold: 200, duration: 60_000 }
 const CAPACITY = 80
 const SEEDS = [1, 2, 3]
@@ -15,7 +15,7 @@
   return Object.values(got).reduce((sum, { answered }) => sum + answered, 0)
 }
 
-test('while all are busy each caller holds places in proportion to its share, within 5 %', t => {
+test('under overload each caller holds slots in proportion to its share, within 5 %', t => {
   for (const seed of SEEDS) {
     const got = simulateGate({ ...SERVERS, seed, callers: [{ name: 'a', share: 1, rate: 80 }, { name: 'b', share: 1, rate: 200 }, { name: 'c', share: 2, rate: 160 }] })
     const all = Object.values(got).reduce((sum, { held }) => sum + held, 0)
@@ -23,9 +23,9 @@
   }
 })
 
-// One caller sends ten times its share while two others stay within theirs. In order of arrival the others would wait
-// behind it for the whole bound, and most of them would be refused; by shares they wait for the next place or two.
-test('a caller that sends ten times its share does not move the others', t => {
+// One caller sends ten times its share while two others stay within theirs. In order of arrival the others would wait behind
+// it, and most of them would be refused; by shares they wait for the next free slot or two.
+test('a caller that sends ten times its share does not delay the others', t => {
   const callers = ['a', 'b'].map(name => ({ name, share: 1, rate: 20 }))
   const [fair, heavy] = [CAPACITY / 3, 10 * CAPACITY / 3].map(rate => MANY_SEEDS.flatMap(seed => {
     const { a, b } = simulateGate({ ...SERVERS, seed, callers: [...callers, { name: 'heavy', share: 1, rate }] })
@@ -41,7 +41,7 @@
   t.true(got.a!.answered > 0.95 * CAPACITY * 60)
 })
 
-test('at twice the capacity the goodput stays and refusals are at once', t => {
+test('at twice the capacity goodput does not fall and refusals are immediate', t => {
   const run = (factor: number): Got => simulateGate({ ...SERVERS, callers: [{ name: 'a', share: 1, rate: CAPACITY * factor }] }).a!
   const peak = Math.max(...[0.9, 1, 1.1, 1.5].map(factor => run(factor).answered))
   for (const factor of [2, 4]) {
@@ -52,7 +52,7 @@
   }
 })
 
-test('what was asked is let in or refused, but for what still waits at the end', t => {
+test('every request is admitted or refused, unless it waits at the end', t => {
   for (const seed of SEEDS) {
     const got = simulateGate({ ...SERVERS, seed, callers: [{ name: 'a', share: 1, rate: 100 }, { name: 'b', share: 3, rate: 100 }] })
     for (const { asked, waits, refused } of Object.values(got)) t.true(asked - waits.length - refused >= 0 && asked - waits.length - refused <= 60)
--- a/test/admission/gate.test.ts
+++ b/test/admission/gate.test.ts
@@ -10,9 +10,8 @@
 
 const QUEUE_WAIT = 50
 
-// Every place is taken and a request wouldn't be let in within the longest wait: its caller gets the refusal at once.
-// Later, when that wait has passed, nothing more may be counted for it: the account showed 50 ms of waiting for each
-// request that had not waited at all, since its timer was set after it had been refused.
+// No slot is free, and a request would not be admitted within the longest wait: it is refused at once. No timer may remain that
+// counts a wait for it later.
 test('a request that is refused at once is not counted as one that waited', async t => {
   const clock = new VirtualClock()
   const account = new Account()
--- a/test/admission/gates-model.test.ts
+++ b/test/admission/gates-model.test.ts
@@ -4,22 +4,22 @@
 import { splitPool } from '../../src/admission/split-pool.js'
 import { simulateGates, type SpreadCaller } from '../helpers/simulate-gates.js'
 
-/** 48 places of 200 ms before 6 daemons: 240 requests a second. */
+/** 48 slots of 200 ms behind 6 daemons: 240 requests a second. */
 const FLEET = { daemons: 6, places: 48, hold: 200, duration: 20_000, tellEvery: 600 }
 const SEEDS = [1, 2, 3]
 
 const all = (rate: number): number[] => new Array<number>(FLEET.daemons).fill(rate / FLEET.daemons)
 const through = (daemon: number, rate: number): number[] => Array.from({ length: FLEET.daemons }, (_, i) => i === daemon ? rate : 0)
 
-// Callers ask for more than there is, some through every daemon and some through one or two. By even parts of the
-// places, each daemon being fair to its own, one of them got 0.10 in place of 0.25.
+// Demand exceeds capacity; some callers use every daemon and some one or two. With an even part for each daemon, fair only
+// among its own requests, a caller that uses few daemons gets less than its share.
 const BUSY: Readonly<Record<string, readonly SpreadCaller[]>> = {
   'all through all daemons': [1, 1, 2].map((share, i) => ({ name: String(i), share, rates: all(200) })),
   'each through one': [1, 1, 2].map((share, i) => ({ name: String(i), share, rates: through(i, 200) })),
   'one through all, the others not': [{ name: '0', share: 1, rates: all(200) }, { name: '1', share: 1, rates: through(0, 200) }, { name: '2', share: 2, rates: [0, 200, 200, 0, 0, 0] }]
 }
 for (const [name, callers] of Object.entries(BUSY)) {
-  test(`while all are busy shares hold over daemons, within 5 %: ${name}`, t => {
+  test(`under overload shares hold across daemons, within 5 %: ${name}`, t => {
     for (const seed of SEEDS) {
       const got = simulateGates({ ...FLEET, seed, callers })
       const sum = Object.values(got).reduce((sum, { held }) => sum + held, 0)
@@ -28,15 +28,15 @@
   })
 }
 
-// One caller sends ten times its share, through all daemons or one; the others stay within theirs, and go through one
-// each or all. By even parts two of three of their requests were refused.
+// One caller sends ten times its share, through all daemons or one; the others stay within theirs, each through one daemon or
+// all. With even parts for the daemons, most requests of the others are refused.
 const HEAVY: Readonly<Record<string, readonly [number[], (i: number) => number[]]>> = {
   'it through all, others through one': [all(800), i => through(i, 60)],
   'it through one, others through all': [through(0, 800), () => all(60)],
   'all through the same': [through(0, 800), () => through(0, 60)]
 }
 for (const [name, [rates, others]] of Object.entries(HEAVY)) {
-  test(`a caller that sends ten times its share gets nobody else refused: ${name}`, t => {
+  test(`a caller that sends ten times its share causes no refusals for others: ${name}`, t => {
     for (const seed of SEEDS) {
       const { a, b } = simulateGates({ ...FLEET, seed, callers: [{ name: 'heavy', share: 1, rates }, ...['a', 'b'].map((name, i) => ({ name, share: 1, rates: others(i) }))] })
       t.true(a!.refused + b!.refused <= 0.01 * (a!.asked + b!.asked), `${seed} ${a!.refused} ${b!.refused}`)
@@ -44,9 +44,9 @@
   })
 }
 
-// It comes through one daemon and fills it; the others' requests come in clumps, and at each of their daemons find the
-// places lent away. Held to their shares for the moment of a clump they waited 70 ms at the 90th percentile and 225 at the 99th.
-test('a caller that sends ten times its share through one daemon hardly moves those who use all', t => {
+// The heavy caller uses and fills one daemon. Requests of the others arrive in bursts and find the slots at their daemons lent
+// out; with grants by mean demand they would wait for them.
+test('a caller that sends ten times its share through one daemon hardly delays those that use all', t => {
   const waits = SEEDS.flatMap(seed => {
     const { a, b } = simulateGates({ ...FLEET, seed, callers: [{ name: 'heavy', share: 1, rates: through(0, 800) }, ...['a', 'b'].map(name => ({ name, share: 1, rates: all(60) }))] })
     return [...a!.waits, ...b!.waits]
@@ -55,14 +55,14 @@
   t.true(p90! < 40 && p99! < 150, `${p90} ${p99}`)
 })
 
-test('an idle share is lent over daemons', t => {
+test('an idle share is lent across daemons', t => {
   const { a } = simulateGates({ ...FLEET, callers: [{ name: 'a', share: 1, rates: through(0, 400) }, { name: 'idle', share: 9, rates: through(1, 0.001) }] })
   t.true(a!.held / (0.9 * FLEET.duration * FLEET.places) > 0.95)
 })
 
-// Hundreds of callers ask a little each through one daemon, more than it tells of by name, beside one that asks for ten
-// times the pool through two others. Were the unnamed left out, their daemon's part would be next to nothing.
-test('callers too many to name keep their places', t => {
+// Hundreds of callers with little demand use one daemon, more than it reports by name, beside a caller that demands several
+// times the pool through two others. If the unnamed callers were left out, their daemon would get next to nothing.
+test('callers that are not reported by name keep their slots', t => {
   const meter = new DemandMeter()
   for (let period = 0; period < 20; period++) {
     for (let i = 0; i < 200; i++) meter.count(`small ${i}`, 1)
@@ -76,7 +76,7 @@
 })
 
 const demand = fc.dictionary(fc.constantFrom('a', 'b', 'c', ''), fc.record({ share: fc.constant(1), slots: fc.double({ min: 0, max: 100, noNaN: true }) }))
-test('parts add up to the whole pool, whatever is asked', t => {
+test('allocations add up to the whole pool for any demand', t => {
   t.notThrows(() => fc.assert(fc.property(fc.array(demand, { minLength: 1, maxLength: 6 }), fc.integer({ min: 1, max: 200 }), (demands, capacity) => {
     const parts = splitPool(new Map(demands.map((each, i) => [String(i), new Map(Object.entries(each))])), capacity)
     const sum = [...parts.values()].reduce((sum, { fraction }) => sum + fraction, 0)
--- a/test/admission/overload.test.ts
+++ b/test/admission/overload.test.ts
@@ -1,10 +1,10 @@
 import test from 'ava'
 import { runOverload } from '../../bench/run-overload.js'
 
-// Callers send twice what the servers can do and don't slow down. Without a bound on who waits, all would wait, time out
-// and run for nobody; here what can't be served is refused as it comes, told when to come back, each at another time.
-// What it costs in time and goodput is for `npm run bench -- --suite overload --check`, as it depends on the machine.
-test('at twice the capacity what can\'t be served is refused as not run, with when to come back, each at another time', async t => {
+// Callers send twice the capacity of the servers and don't slow down. Without a limit on waiting, all requests would wait, time
+// out and run in vain; instead, those that can't be served are refused on arrival, with retry times that differ. Latency and
+// goodput depend on the machine and are checked by `npm run bench -- --suite overload --check`.
+test('at twice the capacity, requests that can\'t be served are refused as not run, with different retry times', async t => {
   const { peak, goodput, refusedWithin, refusals } = await runOverload()
   t.log({ peak, goodput, refusedWithin, refusals: refusals.length })
   t.true(refusals.length > 100)
--- a/test/admission/pool-shares.test.ts
+++ b/test/admission/pool-shares.test.ts
@@ -17,7 +17,7 @@
   readonly fractions = new Map<string, number | undefined>()
   readonly shares = new Map<string, PoolShares>()
   names: readonly string[]
-  /** Daemons that stand still: nothing comes from them or reaches them. */
+  /** Daemons that are paused: they neither send nor receive. */
   readonly paused = new Set<string>()
   sent = 0
 
@@ -27,7 +27,7 @@
     for (const shares of this.shares.values()) void shares.start()
   }
 
-  /** Requests of one caller through one daemon, each held for 100 ms, over so many half seconds. */
+  /** Sends requests of one caller through each daemon, each held for 100 ms, over that many half seconds. */
   async ask (periods: number, asks: Readonly<Record<string, { readonly caller: string, readonly rate: number, readonly waits: boolean }>>): Promise<void> {
     for (let period = 0; period < periods; period++) {
       for (const [name, { caller, rate, waits }] of Object.entries(asks)) {
@@ -54,15 +54,15 @@
   }
 }
 
-test('nothing is told while nobody waits', async t => {
+test('nothing is sent while no request waits', async t => {
   const daemons = new Daemons('a', 'b')
   await daemons.ask(10, { a: { caller: 'x', rate: 50, waits: false } })
   t.is(daemons.sent, 0)
 })
 
-// Two callers of equal shares are crowded, one through one daemon and one through two. By even parts the second gets
-// three quarters of the places.
-test('while requests wait parts follow what is asked, and lapse once none does', async t => {
+// Two callers of equal shares overload a pool, one through one daemon and one through two. With even allocations the second
+// would get more than half of the slots.
+test('while requests wait, allocations follow demand, and they expire once none waits', async t => {
   const daemons = new Daemons('a', 'b', 'c')
   const busy = { a: { caller: 'x', rate: 400, waits: true }, b: { caller: 'y', rate: 200, waits: true }, c: { caller: 'y', rate: 200, waits: true } }
   await daemons.ask(12, busy)
@@ -74,10 +74,10 @@
   t.is(daemons.shares.get('a')!.getFactor(POOL, 'x'), 1)
 })
 
-// Callers of equal shares, one through two daemons and one through the third. Any of the daemons stands still for three
-// seconds, the one that splits as well, and is a member throughout. Callers keep what they had; were parts even meanwhile,
-// the first would get two thirds.
-test('a daemon that stands still for seconds costs nobody its part', async t => {
+// Callers of equal shares, one through two daemons and one through the third. Any of the daemons is paused for three seconds,
+// including the one that splits the pool, and remains a member. If allocations became even meanwhile, the first caller would
+// get two thirds.
+test('pausing a daemon for seconds does not change the allocations', async t => {
   const busy = { a: { caller: 'x', rate: 400, waits: true }, b: { caller: 'y', rate: 200, waits: true }, c: { caller: 'y', rate: 200, waits: true } }
   for (const paused of Object.keys(busy)) {
     const daemons = new Daemons('a', 'b', 'c')
@@ -89,8 +89,9 @@
   }
 })
 
-// The daemon that splits is gone. Its parts lapse, and another splits by what it is told.
-test('when the daemon that splits is gone, another one does', async t => {
+// The daemon that splits the pool is gone. Its allocations expire, and another daemon splits the pool by the reports that it
+// receives.
+test('when the daemon that splits a pool is gone, another one takes over', async t => {
   const daemons = new Daemons('a', 'b', 'c')
   const busy = Object.fromEntries(daemons.names.map((name, i) => [name, { caller: name, rate: i === 2 ? 600 : 200, waits: true }]))
   await daemons.ask(10, busy)
--- a/test/admission/shares-whole.test.ts
+++ b/test/admission/shares-whole.test.ts
@@ -6,15 +6,15 @@
 
 const ENGINES = 4
 const DAEMONS = 3
-/** A place is held for long enough that what a busy machine adds to an answer is little beside it. */
+/** A slot is held long enough that the overhead of a busy machine is small beside it. */
 const TOKENS = 60
 const EACH = 24
 const WARM = 720
 const COUNTED = 720
 const CALLERS = { 'quay-desk': [0, 1, 2], 'night-desk': [1], 'school-kitchen': [2] }
 
-// Three callers of equal shares ask for more than there is, one through all three daemons and the others through one
-// each. By even parts the first gets four times what another gets; by what is asked through each daemon, all get the same.
+// Three callers of equal shares overload the servers, one through all three daemons and the others through one each. With even
+// allocations the first would get several times as much as the others; by demand at each daemon, all get the same.
 test('shares hold where callers use different daemons', async t => {
   const fleet = await Fleet.start()
   t.teardown(async () => await fleet.stop())
--- a/test/admission/step-fair-queue.test.ts
+++ b/test/admission/step-fair-queue.test.ts
@@ -36,7 +36,7 @@
   }), { seed: 7, numRuns: 500 }))
 })
 
-test('who gives up waiting is charged nothing', t => {
+test('a request that leaves the queue is not charged', t => {
   const queue = (state: FairQueueState, id: number): FairQueueState => stepFairQueue(state, { type: 'queued', id, caller: 'a', share: 1, cost: 100 })
   const two = queue(queue(EMPTY, 0), 1)
   const after = stepFairQueue(two, { type: 'dropped', id: 0, share: 1, cost: 100 })
