--- a/src/admission/split-entitlements.ts
+++ b/src/admission/split-entitlements.ts
@@ -2,9 +2,9 @@
 interface CallerUsage { readonly share: number, readonly got: number, readonly waited: boolean }
 
 /**
- * Splits the server time that was used by the shares of the callers: weighted max-min fairness. A caller that never waited had
- * all it asked for, so what it left of its part goes to the others; otherwise a caller with little demand would seem to get
- * less than its share. The parts add up to the time used.
+ * Divides the server time used among the callers by their shares, weighted max-min fair. A caller that never waited had all it
+ * asked for, so what it left of its part goes to the others; otherwise a caller with little demand would seem to get less than
+ * its share. The parts add up to the time used.
  */
 export function splitEntitlements (usages: readonly CallerUsage[]): readonly number[] {
   const entitled = usages.map(() => 0)
--- a/test/admission/pool-shares.test.ts
+++ b/test/admission/pool-shares.test.ts
@@ -85,7 +85,7 @@
     const before = new Map(daemons.fractions)
     daemons.paused.add(paused)
     await daemons.ask(6, busy)
-    for (const [name, fraction] of before) t.true(name === paused || Math.abs(daemons.fractions.get(name)! - fraction!) < 0.05, `${paused} frozen: ${name} ${fraction} then ${daemons.fractions.get(name)}`)
+    for (const [name, fraction] of before) t.true(name === paused || Math.abs(daemons.fractions.get(name)! - fraction!) < 0.05, `${paused} paused: ${name} ${fraction} then ${daemons.fractions.get(name)}`)
   }
 })
 
