--- a/src/admission/account-questions.ts
+++ b/src/admission/account-queries.ts
@@ -16,26 +16,26 @@
 
 type Parts = Readonly<Record<string, AccountPart>>
 
-interface Told {
+interface QueriedParts {
   readonly parts: Parts
   /** Daemons that didn't answer in time. */
-  readonly silent: readonly string[]
+  readonly unresponsive: readonly string[]
 }
 
-const QUESTION = 'account question'
-const ANSWER = 'account answer'
-/** Questions under way at once, and how long each may take: 63 silent daemons, a failure domain, cost 8 s. */
+const REQUEST_TYPE = 'account question'
+const ANSWER_TYPE = 'account answer'
+/** Limit on requests in flight, and the time allowed for each, ms. A failure domain of 63 unresponsive daemons takes 8 s. */
 const CONCURRENCY = 16
 const TIMEOUT = 2_000
 
 /**
- * Asks each daemon, once a read, for what it has counted and not flushed yet. An answer holds only rows that differ
- * from what the daemon last wrote, so that its size goes with the last ten seconds and not with the day.
+ * Collects the counts that daemons have not flushed yet, once for each read of the account. An answer holds only rows that
+ * differ from those last written, so that its size depends on the time since the last flush and not on the day.
  */
 @scoped(Lifecycle.ContainerScoped)
-export class AccountQuestions implements Part {
+export class AccountQueries implements Part {
   readonly extensions: readonly Extension[]
-  private readonly questions: MemberQueries<Parts>
+  private readonly queries: MemberQueries<Parts>
 
   constructor (
     @inject(AccountFlush) private readonly flush: AccountFlush,
@@ -44,33 +44,36 @@
     @inject(tokens.settings) private readonly settings: Settings,
     @inject(tokens.clock) clock: Clock
   ) {
-    this.questions = new MemberQueries({ links, clock, requestType: QUESTION, answerType: ANSWER, timeout: TIMEOUT, concurrency: CONCURRENCY, handle: async () => await this.tell(), read: readOwn })
-    this.extensions = this.questions.extensions
+    this.queries = new MemberQueries({ links, clock, requestType: REQUEST_TYPE, answerType: ANSWER_TYPE, timeout: TIMEOUT, concurrency: CONCURRENCY, handle: async () => await this.answer(), read: keepOwn })
+    this.extensions = this.queries.extensions
   }
 
   async start (): Promise<void> {}
 
   async stop (): Promise<void> {
-    this.questions.stop()
+    this.queries.stop()
   }
 
-  /** What every daemon has counted, this one among them. */
-  async askAll (): Promise<Told> {
-    const { answers, unresponsive: silent } = await this.questions.ask(listOthers(this.members.all(), this.settings.instance))
-    return { parts: Object.assign({}, await this.flush.peek(), ...answers.values()), silent }
+  /** Returns the unflushed counts of all daemons, including this one. */
+  async askAll (): Promise<QueriedParts> {
+    const { answers, unresponsive } = await this.queries.ask(listOthers(this.members.all(), this.settings.instance))
+    return { parts: Object.assign({}, await this.flush.peek(), ...answers.values()), unresponsive }
   }
 
-  /** Silent with more rows than a part may have, as after an outage: the frame would be over its limit and cost the link. */
-  private async tell (): Promise<{ readonly parts: Parts } | undefined> {
+  /**
+   * Returns undefined, which sends no answer, for more rows than a part may have, as after an outage: the frame would exceed
+   * its limit and close the link.
+   */
+  private async answer (): Promise<{ readonly parts: Parts } | undefined> {
     const parts = await this.flush.peek()
     const rows = Object.values(parts).reduce((sum, part) => sum + Object.keys(part.rows).length, 0)
-    return rows <= accountLimits.rows ? { parts } : undefined
+    return rows <= accountLimits.maxRows ? { parts } : undefined
   }
 }
 
-/** Only a daemon itself can tell of its parts. */
-function readOwn ({ parts }: PeerMessage, from: string): Parts {
+/** Keeps the parts of the daemon that sent them. */
+function keepOwn ({ parts }: PeerMessage, from: string): Parts {
   return Object.fromEntries(Object.entries(parts as Parts).filter(([, { instance }]) => instance === from))
 }
 
-partRegistry.register({ name: 'account questions', part: AccountQuestions, needs: ['account flush', 'members', 'peer links'] })
+partRegistry.register({ name: 'account questions', part: AccountQueries, needs: ['account flush', 'members', 'peer links'] })
--- a/src/admission/account-reader.ts
+++ b/src/admission/account-reader.ts
@@ -4,11 +4,11 @@
 import type { ObjectStore } from '../store/object-store.js'
 import type { AccountDay } from './account-day.js'
 import type { AccountPart } from './account-part.js'
-import { AccountQuestions } from './account-questions.js'
+import { AccountQueries } from './account-queries.js'
 import { Account } from './account.js'
 import { listDays } from './list-days.js'
 import { mergeAccount } from './merge-account.js'
-import { mergeTold } from './merge-told.js'
+import { mergeReported } from './merge-reported.js'
 import type { MergedAccount } from './merged-account.js'
 import { readAll } from './read-all.js'
 import { formatDay } from './format-day.js'
@@ -17,37 +17,40 @@
 
 interface ReadOptions { readonly caller?: string, readonly since?: string, readonly until?: string }
 
-/** Adds up the account of the fleet: days, parts, and what daemons that live haven't flushed yet. */
+/** Adds up the account of the fleet: days, parts, and the unflushed counts of running daemons. */
 @scoped(Lifecycle.ContainerScoped)
 export class AccountReader {
   constructor (
     @inject(Account) private readonly account: Account,
-    @inject(AccountQuestions) private readonly questions: AccountQuestions,
+    @inject(AccountQueries) private readonly queries: AccountQueries,
     @inject(tokens.store) private readonly store: ObjectStore,
     @inject(tokens.clock) private readonly clock: Clock
   ) {}
 
   /**
-   * Daemons are asked before parts are read, so that a part which ends in between is read whole; parts are read before
-   * days, so that one which is folded in between is in both, and counted once.
+   * Reads the account. Daemons are queried before parts are read, so that a part which ends in between is read complete. Parts
+   * are read before days, so that a part which is folded in between is in both, and is counted once.
    */
   async read ({ caller, since, until }: ReadOptions): Promise<MergedAccount & { readonly silent: readonly string[] }> {
-    const told = this.mayBeOpen(until) ? await this.questions.askAll() : { parts: {}, silent: [] }
+    const answered = this.mayHaveUnflushed(until) ? await this.queries.askAll() : { parts: {}, unresponsive: [] }
     const read = await readAll<AccountPart>(this.store, 'account')
     const days = await this.readDays(since, until)
     if (read.err || days === undefined) {
-      return { ...this.readOwn(since, until), mayMiss: { asked: 0, runs: [] }, whole: false, silent: told.silent }
+      return { ...this.readOwn(since, until), mayMiss: { asked: 0, runs: [] }, whole: false, silent: answered.unresponsive }
     }
-    const { parts, fresh } = mergeTold(Object.fromEntries(read.val.map(({ name, value }) => [name, value])), days, told.parts)
-    return { ...mergeAccount({ parts, days, fresh, since, until, caller }), silent: told.silent }
+    const { parts, fresh } = mergeReported(Object.fromEntries(read.val.map(({ name, value }) => [name, value])), days, answered.parts)
+    return { ...mergeAccount({ parts, days, fresh, since, until, caller }), silent: answered.unresponsive }
   }
 
-  /** What isn't flushed is of today, or in the first moments after midnight of yesterday. */
-  private mayBeOpen (until: string | undefined): boolean {
+  /** Unflushed counts are of today or, shortly after midnight, of yesterday. */
+  private mayHaveUnflushed (until: string | undefined): boolean {
     return until === undefined || until >= formatDay(this.clock.date() - DAY)
   }
 
-  /** Counts of this daemon since its start. They are shown for today only, or a report by days would have them on each. */
+  /**
+   * Returns the counts of this daemon since its start. They are included for today only: a report by days would otherwise
+   * repeat them for each day.
+   */
   private readOwn (since = '', until = '9'): Pick<MergedAccount, 'rows' | 'times'> {
     const today = formatDay(this.clock.date())
     return since <= today && today <= until ? { rows: this.account.read(), times: this.account.readTimes() } : { rows: {}, times: {} }
--- a/src/admission/busy-shares.ts
+++ b/src/admission/busy-shares.ts
@@ -1,51 +1,51 @@
 import { splitEntitlements } from './split-entitlements.js'
 
-interface Held { readonly caller: string, readonly service: string, readonly share: number }
+interface Holder { readonly caller: string, readonly service: string, readonly share: number }
 
-/** What a caller got of a busy minute, and what it was entitled to, ms of server time. */
-interface Shared { readonly caller: string, readonly service: string, readonly got: number, readonly entitled: number }
+/** Server time that a caller used in a busy minute, and what its share entitled it to, ms. */
+interface Entitlement { readonly caller: string, readonly service: string, readonly got: number, readonly entitled: number }
 
-interface Had extends Held { got: number, waited: boolean }
+interface Usage extends Holder { got: number, waited: boolean }
 
 const MINUTE = 60_000
 
 /**
- * Compares, for the minutes in which requests of a pool waited at this daemon, what each caller got with what its share
- * entitled it to. Minutes in which nobody waited say nothing about shares and are left out.
+ * Compares what each caller used with what its share entitled it to, over the minutes in which requests of a pool waited at
+ * this daemon. Other minutes are left out, because shares have no effect in them.
  */
 export class BusyShares {
-  private had = new Map<string, Had>()
+  private usage = new Map<string, Usage>()
   private begin: number
 
   constructor (now: number) {
     this.begin = now
   }
 
-  /** A place was held for `time` ms. */
-  record (held: Held, time: number): void {
-    this.read(held).got += time
+  /** Records that a request held a slot for `time` ms. */
+  record (holder: Holder, time: number): void {
+    this.read(holder).got += time
   }
 
-  /** A request had to wait. */
-  recordWait (held: Held): void {
-    this.read(held).waited = true
+  /** Records that a request had to wait. */
+  recordWait (holder: Holder): void {
+    this.read(holder).waited = true
   }
 
-  /** What is to be counted of a minute that has ended. */
-  take (now: number): readonly Shared[] {
+  /** Returns the usage of each caller in a minute that has ended; empty before its end, or if no request waited. */
+  take (now: number): readonly Entitlement[] {
     if (now < this.begin + MINUTE) return []
-    const had = [...this.had.values()]
+    const usages = [...this.usage.values()]
     this.begin = now
-    this.had = new Map()
-    if (!had.some(({ waited }) => waited)) return []
-    const entitled = splitEntitlements(had)
-    return had.map(({ caller, service, got }, i) => ({ caller, service, got, entitled: entitled[i]! }))
+    this.usage = new Map()
+    if (!usages.some(({ waited }) => waited)) return []
+    const entitled = splitEntitlements(usages)
+    return usages.map(({ caller, service, got }, i) => ({ caller, service, got, entitled: entitled[i]! }))
   }
 
-  /** A caller that asks for several services of a pool has its share once, and is counted under the first it asked for. */
-  private read (held: Held): Had {
-    const known = this.had.get(held.caller) ?? { ...held, got: 0, waited: false }
-    this.had.set(held.caller, known)
+  /** Returns the usage of a caller. A caller that uses several services of a pool has one share, and is counted under the first of them. */
+  private read (holder: Holder): Usage {
+    const known = this.usage.get(holder.caller) ?? { ...holder, got: 0, waited: false }
+    this.usage.set(holder.caller, known)
     return known
   }
 }
--- a/src/admission/plan-flush.ts
+++ b/src/admission/plan-flush.ts
@@ -1,14 +1,15 @@
 import { accountLimits } from './account-limits.js'
 
-/** When a daemon flushes: after so many ms, or at once after so many online requests. */
+/** The next flush is due after `period` ms or `lead` online requests. */
 interface FlushPlan { readonly period: number, readonly lead: number }
 
 /**
- * Flushes as rare as the fleet is large, so that all daemons together make no more writes than `fleetWrites` a second.
- * `lead` bounds how many online requests a daemon may be ahead of what the platform knows, and is what a kill can cost.
+ * Plans the flushes of a daemon. The larger the fleet, the longer the period, so that all daemons together flush no more than
+ * `fleetWriteRate` times a second. `lead` bounds the online requests of a daemon that the platform doesn't have yet, and so
+ * what a kill can lose.
  */
 export function planFlush (daemons: number): FlushPlan {
-  const { period, unflushed, fleetWrites, leadRate } = accountLimits
-  const needed = Math.ceil(daemons / fleetWrites) * 1_000
-  return needed <= period ? { period, lead: unflushed } : { period: needed, lead: leadRate * needed / 1_000 }
+  const { flushPeriod, maxUnflushed, fleetWriteRate, daemonRequestRate } = accountLimits
+  const needed = Math.ceil(daemons / fleetWriteRate) * 1_000
+  return needed <= flushPeriod ? { period: flushPeriod, lead: maxUnflushed } : { period: needed, lead: daemonRequestRate * needed / 1_000 }
 }
--- a/src/peers/fleet-broadcast.ts
+++ b/src/peers/fleet-broadcast.ts
@@ -5,23 +5,24 @@
 import { tokens } from '../kernel/tokens.js'
 import { findDomainLeader } from './find-domain-leader.js'
 import { isSmallFleet } from './is-small-fleet.js'
-import { listHubs } from './list-hubs.js'
+import { listDomainLeaders } from './list-domain-leaders.js'
 import { listOthers } from './list-others.js'
 import { Members } from './members.js'
 import { peerHandlerPoint } from './peer-handler-point.js'
 import { PeerLinks } from './peer-links.js'
 import type { PeerMessage } from './peer-message.js'
 
-const CAST = 'cast'
+const MESSAGE_TYPE = 'cast'
 
 /**
- * Tells all daemons something. A small fleet is told directly. In a larger one the message goes to the hub of the sender's
- * failure domain, from there to the other hubs, and from each hub to its domain: a daemon then needs links with a few and
- * not with all. What is cast may be lost with a hub; whoever needs it surely has another way to it.
+ * Sends messages to all daemons. In a small fleet the sender sends them directly. In a larger one a message goes to the leader
+ * of the sender's failure domain, from there to the other domain leaders, and from each leader to its domain, so that a daemon
+ * needs links to a few others only. A broadcast may be lost when a leader fails; a receiver that depends on it needs another
+ * source as well.
  */
 @scoped(Lifecycle.ContainerScoped)
 export class FleetBroadcast implements Part {
-  readonly extensions = [peerHandlerPoint.of({ type: CAST, handle: ({ m, relayed }, from) => this.passOn(m as PeerMessage, relayed === true, from) })]
+  readonly extensions = [peerHandlerPoint.of({ type: MESSAGE_TYPE, handle: ({ m, relayed }, from) => this.relay(m as PeerMessage, relayed === true, from) })]
 
   constructor (
     @inject(tokens.settings) private readonly settings: Settings,
@@ -29,24 +30,24 @@
     @inject(PeerLinks) private readonly links: PeerLinks
   ) {}
 
-  /** While a message waits for a slow peer, a newer one of its topic takes its place. */
+  /** Sends `message` to all other daemons. While it waits for a slow peer, a newer one with the same topic replaces it. */
   broadcast (message: PeerMessage, topic: string): void {
     const members = this.members.all()
     const { instance, failureDomain } = this.settings
     if (isSmallFleet(members)) return this.sendAll(listOthers(members, instance), message, topic)
-    const hub = findDomainLeader(members, failureDomain)
-    if (hub === instance) this.passOn(message, false, instance)
-    else if (hub !== undefined) this.links.send(hub, { type: CAST, m: message }, `${CAST} ${topic}`)
+    const leader = findDomainLeader(members, failureDomain)
+    if (leader === instance) this.relay(message, false, instance)
+    else if (leader !== undefined) this.links.send(leader, { type: MESSAGE_TYPE, m: message }, `${MESSAGE_TYPE} ${topic}`)
   }
 
-  private passOn (message: PeerMessage, relayed: boolean, from: string): void {
+  private relay (message: PeerMessage, relayed: boolean, from: string): void {
     if (typeof message?.type !== 'string') return
     const members = this.members.all()
     const { instance, failureDomain } = this.settings
     if (from !== instance) this.links.dispatch(message, from)
-    if (!relayed) for (const hub of listHubs(members, failureDomain)) this.links.send(hub, { type: CAST, m: message, relayed: true })
-    const near = members.filter(({ instance: other }) => other.failureDomain === failureDomain)
-    this.sendAll(listOthers(near, instance).filter(name => name !== from), message)
+    if (!relayed) for (const leader of listDomainLeaders(members, failureDomain)) this.links.send(leader, { type: MESSAGE_TYPE, m: message, relayed: true })
+    const domainMembers = members.filter(({ instance: other }) => other.failureDomain === failureDomain)
+    this.sendAll(listOthers(domainMembers, instance).filter(name => name !== from), message)
   }
 
   private sendAll (names: readonly string[], message: PeerMessage, topic?: string): void {
--- a/src/peers/member-queries.ts
+++ b/src/peers/member-queries.ts
@@ -8,38 +8,38 @@
 
 type Fields = Readonly<Record<string, unknown>>
 
-interface MemberQuestionsOptions<T> {
+interface MemberQueriesOptions<T> {
   readonly links: Pick<PeerLinks, 'send'>
   readonly clock: Clock
   /** Types of the two messages. */
   readonly requestType: string
   readonly answerType: string
-  /** How long each question may take, ms. */
+  /** Time allowed for each answer, ms. */
   readonly timeout: number
-  /** Questions under way at once. */
+  /** Maximum number of requests in flight; no limit by default. */
   readonly concurrency?: number
-  /** The fields with which this daemon answers; undefined to stay silent. */
+  /** Returns the fields of this daemon's answer, or undefined to send none. */
   readonly handle: () => Promise<Fields | undefined>
-  /** What an answer says. */
+  /** Decodes an answer. */
   readonly read: (message: PeerMessage, from: string) => T
 }
 
-interface Told<T> {
-  /** By daemon, in the order in which they came. */
+interface QueryResult<T> {
+  /** By daemon, in the order of arrival. */
   readonly answers: ReadonlyMap<string, T>
-  /** Daemons that didn't answer in time. */
+  /** Daemons that didn't answer in time, sorted. */
   readonly unresponsive: readonly string[]
 }
 
 /**
- * A question that one daemon puts to others and that each answers for itself: an answer counts once, in time, and from
- * the daemon that was asked. A part owns one and registers its `extensions`.
+ * Sends a request to several daemons and collects their answers. An answer counts once, in time, and from the daemon that was
+ * asked. A part creates one instance for each kind of request and registers its `extensions`.
  */
 export class MemberQueries<T> {
   readonly extensions: readonly Extension[]
   private readonly pending: PendingCalls<readonly [string, T]>
 
-  constructor (private readonly options: MemberQuestionsOptions<T>) {
+  constructor (private readonly options: MemberQueriesOptions<T>) {
     this.pending = new PendingCalls(options.clock)
     this.extensions = [
       peerHandlerPoint.of({ type: options.requestType, handle: (message, from) => { void this.answer(message, from) } }),
@@ -47,18 +47,18 @@
     ]
   }
 
-  /** Asks each of `names` once; resolves when all have answered or had their time. */
-  async ask (names: readonly string[]): Promise<Told<T>> {
-    const { answers, silent } = await askEach(names, async name => await this.askOne(name), this.options.concurrency ?? names.length)
-    return { answers: new Map(answers), unresponsive: silent }
+  /** Sends the request to each of `names` once. Resolves when each has answered or timed out. */
+  async ask (names: readonly string[]): Promise<QueryResult<T>> {
+    const { answers, unresponsive } = await askEach(names, async name => await this.sendQuery(name), this.options.concurrency ?? names.length)
+    return { answers: new Map(answers), unresponsive }
   }
 
-  /** Takes those asked that haven't answered for silent. */
+  /** Ends all pending requests; their daemons count as unresponsive. */
   stop (): void {
     this.pending.stop()
   }
 
-  private async askOne (from: string): Promise<readonly [string, T] | undefined> {
+  private async sendQuery (from: string): Promise<readonly [string, T] | undefined> {
     const { links, requestType: type, timeout } = this.options
     return await this.pending.open(from, timeout, id => links.send(from, { type, id }))
   }
--- a/src/peers/peer-links.ts
+++ b/src/peers/peer-links.ts
@@ -18,29 +18,31 @@
 import { Session } from './session.js'
 
 const NONCE_BYTES = 16
+/** Period of the checks for silent, idle and unauthenticated links, ms. */
 const CHECK_PERIOD = 250
+/** Time allowed for the handshake, ms. */
 const HANDSHAKE_TIMEOUT = 2_000
-/** Connections whose peer hasn't proved itself yet. */
-const MAX_UNPROVEN = 512
-/** A link on which something came or went within this was in use, ms. */
-const IN_USE = 5_000
-/** Why this daemon itself closes a link. */
-const OWN_REASONS: readonly string[] = ['idle', 'silent', 'shut down', 'no handshake']
+/** Limit on connections whose peer has not authenticated. */
+const MAX_UNAUTHENTICATED = 512
+/** A link with traffic within this time counts as in use, ms. */
+const RECENT_USE = 5_000
+/** Reasons for which this daemon itself closes a link. */
+const LOCAL_REASONS: readonly string[] = ['idle', 'silent', 'shut down', 'no handshake']
 
 /**
- * Frames between daemons over TCP. One link serves both directions; it is opened when first needed and closed when
- * unused. What is sent while a link is down or full waits in a bounded queue.
+ * Sends messages between daemons over TCP. One link serves both directions; it is opened on first use and closed when idle.
+ * Messages wait in a bounded queue while a link is being opened or the peer is slow.
  */
 @scoped(Lifecycle.ContainerScoped)
 export class PeerLinks implements Part {
-  /** The port in use, once started. */
+  /** The port in use; 0 until started. */
   port = 0
   private readonly server: Server
-  /** By peer: the link that sends, proven or being opened. */
-  private readonly sending = new Map<string, Link>()
-  private readonly unproven = new Map<Link, number>()
+  /** By peer: the link for sending, authenticated or being opened. */
+  private readonly sendLinks = new Map<string, Link>()
+  private readonly unauthenticated = new Map<Link, number>()
   private readonly all = new Set<Link>()
-  private readonly endListeners = new Set<(peer: string) => void>()
+  private readonly closeListeners = new Set<(peer: string) => void>()
   private cancel = (): void => {}
 
   constructor (
@@ -50,10 +52,10 @@
     @inject(Timeline) private readonly timeline: Timeline,
     @inject(PeerAddresses) private readonly addresses: PeerAddresses,
     @inject(Metrics) private readonly metrics: Metrics,
-    @inject(Extensions) private readonly added: Extensions
+    @inject(Extensions) private readonly registeredExtensions: Extensions
   ) {
     this.server = createServer(socket => {
-      if (this.unproven.size >= MAX_UNPROVEN) socket.destroy()
+      if (this.unauthenticated.size >= MAX_UNAUTHENTICATED) socket.destroy()
       else this.add(new Link(socket, this.createSession(), this.listener))
     })
     metrics.gauge('peer_links', () => this.all.size)
@@ -71,25 +73,25 @@
   }
 
   /**
-   * Sends without waiting; a message to a peer that can't be reached is lost, and senders must allow for that. While
-   * it waits for a slow peer, a newer message of the same `topic` takes its place.
+   * Sends a message without waiting. It is lost if the peer can't be reached, which senders must allow for. While it waits for
+   * a slow peer, a newer message with the same `topic` replaces it.
    */
   send (to: string, message: PeerMessage, topic?: string): void {
-    const link = this.sending.get(to) ?? this.open(to)
+    const link = this.sendLinks.get(to) ?? this.open(to)
     link?.send(message, topic)
   }
 
-  /** `listener` hears of each peer that closed a link which was in use. */
-  subscribeEnds (listener: (peer: string) => void): void {
-    this.endListeners.add(listener)
+  /** Calls `listener` with the peer of each link that closes while in use, unless this daemon closed it. */
+  subscribeClosed (listener: (peer: string) => void): void {
+    this.closeListeners.add(listener)
   }
 
   /**
-   * The session over which `to` is told things now, if it has proved itself: another one than before means that what
-   * was sent last may be lost.
+   * Returns the session for sending to `to`, or undefined until it is authenticated. When the session has changed since an
+   * earlier message, that message may be lost.
    */
   findSession (to: string): Pick<Session, 'agreedVersion'> | undefined {
-    const link = this.sending.get(to)
+    const link = this.sendLinks.get(to)
     return link?.peer === undefined ? undefined : link.session
   }
 
@@ -97,7 +99,7 @@
     const address = this.addresses.find(to)
     if (address === undefined) return undefined
     const link = new Link(connect(address.port, address.host), this.createSession(to), this.listener)
-    this.sending.set(to, link)
+    this.sendLinks.set(to, link)
     this.add(link)
     link.open()
     return link
@@ -105,7 +107,7 @@
 
   private add (link: Link): void {
     this.all.add(link)
-    this.unproven.set(link, this.clock.now())
+    this.unauthenticated.set(link, this.clock.now())
   }
 
   private createSession (to?: string): Session {
@@ -115,15 +117,15 @@
   private check (): void {
     const now = this.clock.now()
     for (const link of [...this.all]) link.check(now)
-    for (const [link, since] of [...this.unproven]) {
+    for (const [link, since] of [...this.unauthenticated]) {
       if (now - since >= HANDSHAKE_TIMEOUT) link.close('no handshake')
     }
   }
 
   private readonly listener = {
-    onProven: (link: Link): void => {
-      this.unproven.delete(link)
-      if (this.sending.get(link.peer!)?.peer === undefined) this.sending.set(link.peer!, link)
+    onAuthenticated: (link: Link): void => {
+      this.unauthenticated.delete(link)
+      if (this.sendLinks.get(link.peer!)?.peer === undefined) this.sendLinks.set(link.peer!, link)
     },
     onMessage: (message: PeerMessage, time: number, from: string): void => {
       this.timeline.observe(time)
@@ -137,25 +139,25 @@
   }
 
   /**
-   * Gives a message to its handlers. One that fails on a peer's message, say one of a newer version, costs that message and
-   * not the daemon.
+   * Passes a message to its handlers. An exception, such as on a message of a newer version, is logged and stops neither the
+   * daemon nor the other handlers.
    */
   dispatch (message: PeerMessage, from: string): void {
-    for (const handler of this.added.collect(peerHandlerPoint)) {
+    for (const handler of this.registeredExtensions.collect(peerHandlerPoint)) {
       if (handler.type !== message.type) continue
       try {
         handler.handle(message, from)
       } catch (error) {
-        this.log.write('error', 'peers', 'a handler failed', { type: message.type, from, error: (error as Error).stack })
+        this.log.write('error', 'peers', 'message handler failed', { type: message.type, from, error: (error as Error).stack })
       }
     }
   }
 
   private remove (link: Link, reason: string): void {
     this.all.delete(link)
-    this.unproven.delete(link)
-    for (const [peer, known] of this.sending) if (known === link) this.sending.delete(peer)
-    if (link.peer !== undefined && link.idleFor < IN_USE && !OWN_REASONS.includes(reason)) for (const listener of this.endListeners) listener(link.peer)
+    this.unauthenticated.delete(link)
+    for (const [peer, known] of this.sendLinks) if (known === link) this.sendLinks.delete(peer)
+    if (link.peer !== undefined && link.idleTime < RECENT_USE && !LOCAL_REASONS.includes(reason)) for (const listener of this.closeListeners) listener(link.peer)
     if (reason === 'silent') this.metrics.count('peer_links_silent_total')
     const usual = reason === 'idle' || reason === 'closed by the peer' || reason === 'shut down'
     this.log.write(usual ? 'debug' : 'warn', 'peers', 'closed a connection', { peer: link.peer, reason })
--- a/src/peers/session-keys.ts
+++ b/src/peers/session-keys.ts
@@ -1,6 +1,6 @@
 import { createHmac } from 'node:crypto'
 
-/** Who opened a session with whom, and the nonce of each. */
+/** The two ends of a session, with the nonce of each. */
 interface SessionParties {
   readonly opener: string
   readonly acceptor: string
@@ -8,7 +8,7 @@
   readonly acceptorNonce: Uint8Array
 }
 
-/** What the two ends of one session prove and seal with. */
+/** The handshake proofs and frame keys of a session. */
 interface SessionKeys {
   readonly openerProof: Buffer
   readonly acceptorProof: Buffer
@@ -17,16 +17,16 @@
 }
 
 /**
- * Derives the proofs and sealing keys of one session from the shared secret. Both nonces and both names go in, so
- * that nothing recorded from one session is of use in another, nor between other daemons.
+ * Derives the proofs and frame keys of a session from the shared secret. Both nonces and both names are part of the input, so
+ * that nothing recorded from one session can be replayed in another or between other daemons.
  */
 export function buildSessionKeys (secret: string, { opener, acceptor, openerNonce, acceptorNonce }: SessionParties): SessionKeys {
   const names = JSON.stringify([opener, acceptor])
-  const hashFor = (use: string): Buffer => createHmac('sha256', secret).update(use).update('\0').update(openerNonce).update(acceptorNonce).update(names).digest()
+  const deriveKey = (use: string): Buffer => createHmac('sha256', secret).update(use).update('\0').update(openerNonce).update(acceptorNonce).update(names).digest()
   return {
-    openerProof: hashFor('proof of the opener'),
-    acceptorProof: hashFor('proof of the acceptor'),
-    openerKey: hashFor('frames of the opener'),
-    acceptorKey: hashFor('frames of the acceptor')
+    openerProof: deriveKey('proof of the opener'),
+    acceptorProof: deriveKey('proof of the acceptor'),
+    openerKey: deriveKey('frames of the opener'),
+    acceptorKey: deriveKey('frames of the acceptor')
   }
 }
