--- a/bench/due/due-simulation.ts
+++ b/bench/due/due-simulation.ts
@@ -1,7 +1,7 @@
-import { estimateRest } from '../../src/batch/estimate-rest.js'
+import { estimateRemainingTime } from '../../src/batch/estimate-remaining-time.js'
 import type { Job } from '../../src/batch/job.js'
 import { orderJobs } from '../../src/batch/order-jobs.js'
-import { RecentUse } from '../../src/batch/recent-use.js'
+import { RecentUsage } from '../../src/batch/recent-usage.js'
 import { failUnreachable } from '../../src/kernel/unreachable.js'
 import { Schedule } from '../policy/schedule.js'
 import type { DueJob } from './due-job.js'
@@ -33,7 +33,7 @@
   since: number
   /** Distinguishes the planned end of a chunk from those that a fault has overtaken. */
   plan: number
-  readonly use: RecentUse
+  readonly use: RecentUsage
   readonly rest: Map<string, number>
 }
 
@@ -58,7 +58,7 @@
   constructor (private readonly options: DueOptions) {
     const { daemons, servers } = options
     this.daemons = Array.from({ length: daemons }, (_, i) => ({
-      servers: Math.floor(servers / daemons) + (i < servers % daemons ? 1 : 0), alive: true, since: 0, plan: 0, use: new RecentUse(), rest: new Map()
+      servers: Math.floor(servers / daemons) + (i < servers % daemons ? 1 : 0), alive: true, since: 0, plan: 0, use: new RecentUsage(), rest: new Map()
     }))
   }
 
@@ -88,7 +88,7 @@
   private look (daemon: Daemon): void {
     if (!daemon.alive || daemon.chunk !== undefined) return
     for (const job of this.order(daemon).slice(0, LOOKS)) {
-      daemon.rest.set(job.entry.job, estimateRest(showJob(job), this.schedule.now))
+      daemon.rest.set(job.entry.job, estimateRemainingTime(showJob(job), this.schedule.now))
       const chunk = job.free.shift()
       if (chunk === undefined) continue
       daemon.chunk = chunk
--- a/src/batch/estimate-rest.ts
+++ b/src/batch/estimate-remaining-time.ts
@@ -2,7 +2,7 @@
 import type { Job } from './job.js'
 
 /** Time in ms that the rest of a job needs at the pace it has had since it was created; 0 before its first result. */
-export function estimateRest (job: Job, date: number): number {
+export function estimateRemainingTime (job: Job, date: number): number {
   const { completed, failed, cancelled } = addCounts(Object.values(job.finished))
   const done = completed + failed + cancelled
   return done === 0 ? 0 : (job.items - done) * Math.max(0, date - job.created) / done
--- a/src/batch/recent-use.ts
+++ b/src/batch/recent-usage.ts
@@ -1,7 +1,7 @@
 const HALF_LIFE = 600_000
 
 /** How much callers and jobs got of late: counts that halve every ten minutes. */
-export class RecentUse {
+export class RecentUsage {
   private readonly counts = new Map<string, { readonly value: number, readonly at: number }>()
 
   add (name: string, amount: number, now: number): void {
--- a/src/batch/show-job.ts
+++ b/src/batch/show-job.ts
@@ -1,5 +1,5 @@
 import { addCounts } from './add-counts.js'
-import { estimateRest } from './estimate-rest.js'
+import { estimateRemainingTime } from './estimate-remaining-time.js'
 import type { Job } from './job.js'
 
 const MS_PER_SECOND = 1_000
@@ -10,7 +10,7 @@
  */
 export function showJob (job: Job, date: number): unknown {
   const counts = addCounts(Object.values(job.finished))
-  const rest = estimateRest(job, date)
+  const rest = estimateRemainingTime(job, date)
   const running = job.status === 'in_progress'
   return {
     id: job.id,
--- a/src/batch/work-finder.ts
+++ b/src/batch/work-finder.ts
@@ -3,14 +3,14 @@
 import { rankOwners } from '../coordination/rank-owners.js'
 import type { Clock } from '../kernel/clock.js'
 import { tokens } from '../kernel/tokens.js'
-import { estimateRest } from './estimate-rest.js'
+import { estimateRemainingTime } from './estimate-remaining-time.js'
 import type { HeldChunks } from './held-chunks.js'
 import { HoldingRecord } from './holding-record.js'
 import type { Job } from './job.js'
 import { JobWatch } from './job-watch.js'
 import { listChunks } from './list-chunks.js'
 import { orderJobs } from './order-jobs.js'
-import { RecentUse } from './recent-use.js'
+import { RecentUsage } from './recent-usage.js'
 import type { WorkEntry } from './work-entry.js'
 import { WorkIndex } from './work-index.js'
 
@@ -32,7 +32,7 @@
 export class WorkFinder {
   private readonly busy = new Map<string, number>()
   private readonly rest = new Map<string, number>()
-  private readonly use = new RecentUse()
+  private readonly use = new RecentUsage()
 
   constructor (
     @inject(WorkIndex) private readonly work: WorkIndex,
@@ -67,7 +67,7 @@
     for (const { job: id } of open.slice(0, MAX_JOBS)) {
       const job = await this.jobs.check(id)
       if (job === undefined) continue
-      this.rest.set(id, estimateRest(job, this.clock.date()))
+      this.rest.set(id, estimateRemainingTime(job, this.clock.date()))
       for (const place of this.choosePlaces(job, service, held)) yield { job, place }
       this.putAside(id)
       if (held.ofJob(id).length === 0) this.jobs.remove(id)
--- a/test/batch/shares.test.ts
+++ b/test/batch/shares.test.ts
@@ -1,6 +1,6 @@
 import test from 'ava'
 import { orderJobs } from '../../src/batch/order-jobs.js'
-import { RecentUse } from '../../src/batch/recent-use.js'
+import { RecentUsage } from '../../src/batch/recent-usage.js'
 import type { WorkEntry } from '../../src/batch/work-entry.js'
 
 const HOUR = 3_600_000
@@ -13,7 +13,7 @@
 test('callers get their shares, however many jobs they send, and a small job ends beside a huge one', t => {
   const job = (id: string, caller: string, items: number): WorkEntry => ({ job: id, caller, service: 'drafts', items, created: 0, due: 24 * HOUR })
   const left = new Map([job('k', 'kitchen', 1e9), ...Array.from({ length: 10 }, (_, i) => job(`h${i}`, 'hall', 98_000)), job('d', 'desk', 1e9), job('small', 'desk', 1_000)].map(entry => [entry, entry.items]))
-  const use = new RecentUse()
+  const use = new RecentUsage()
   const got: Record<string, number> = { kitchen: 0, hall: 0, desk: 0 }
   let smallEnded = Infinity
   for (let now = 0; now < 2 * HOUR; now += CHUNK_TIME) {
