--- a/src/routing/choose-server.ts
+++ b/src/routing/choose-server.ts
@@ -7,7 +7,7 @@
 /** Requests above that bound which make no difference to an engine that runs many at once. */
 const LOAD_SLACK = 4
 /** Servers that may hold a key. */
-const RANKS = 2
+const AFFINITY_SERVERS = 2
 
 interface ChooseOptions {
   readonly random: Random
@@ -30,18 +30,18 @@
  * randomized load balancing", 2001.
  */
 export function chooseServer (servers: readonly BackendServer[], { random, limit, excluded = [], avoided = [], key }: ChooseOptions): BackendServer | undefined {
-  const open = servers.filter(server => hasPlace(server, limit) && !excluded.includes(server.name))
-  const elsewhere = open.filter(({ failureDomain }) => !avoided.includes(failureDomain))
-  const choice = elsewhere.length > 0 ? elsewhere : open
-  if (choice.length <= 1) return choice[0]
-  const holder = key === undefined ? undefined : findHolder(servers, choice, key)
-  if (holder !== undefined) return holder
-  const first = random.below(choice.length)
-  const second = (first + 1 + random.below(choice.length - 1)) % choice.length
-  return choice[first]!.load <= choice[second]!.load ? choice[first] : choice[second]
+  const open = servers.filter(server => hasCapacity(server, limit) && !excluded.includes(server.name))
+  const preferred = open.filter(({ failureDomain }) => !avoided.includes(failureDomain))
+  const candidates = preferred.length > 0 ? preferred : open
+  if (candidates.length <= 1) return candidates[0]
+  const affinityServer = key === undefined ? undefined : findAffinityServer(servers, candidates, key)
+  if (affinityServer !== undefined) return affinityServer
+  const first = random.below(candidates.length)
+  const second = (first + 1 + random.below(candidates.length - 1)) % candidates.length
+  return candidates[first]!.load <= candidates[second]!.load ? candidates[first] : candidates[second]
 }
 
-function hasPlace ({ leaving, inFlight, limit }: BackendServer, highest: number): boolean {
+function hasCapacity ({ leaving, inFlight, limit }: BackendServer, highest: number): boolean {
   return !leaving && inFlight < Math.min(limit, highest)
 }
 
@@ -50,10 +50,10 @@
  * one at its limit doesn't move the others' keys; a second rank, and slack while all have room, keep copies of one
  * request together though the daemons that choose know of different loads.
  */
-function findHolder (servers: readonly BackendServer[], open: readonly BackendServer[], key: string): BackendServer | undefined {
-  const staying = servers.filter(({ leaving }) => !leaving)
-  const bound = LOAD_BOUND * staying.reduce((sum, { load }) => sum + load, 0) / staying.length + LOAD_SLACK
-  const ranked = rankOwners(key, staying.map(({ name }) => name)).slice(0, RANKS)
+function findAffinityServer (servers: readonly BackendServer[], open: readonly BackendServer[], key: string): BackendServer | undefined {
+  const remaining = servers.filter(({ leaving }) => !leaving)
+  const bound = LOAD_BOUND * remaining.reduce((sum, { load }) => sum + load, 0) / remaining.length + LOAD_SLACK
+  const ranked = rankOwners(key, remaining.map(({ name }) => name)).slice(0, AFFINITY_SERVERS)
   for (const name of ranked) {
     const server = open.find(other => other.name === name && other.load <= bound)
     if (server !== undefined) return server
--- a/src/routing/delivery.ts
+++ b/src/routing/delivery.ts
@@ -17,7 +17,7 @@
 import type { Trials } from './trials.js'
 
 const RETRY_AFTER = 1_000
-const KEPT_OUT = 'the servers that ran this request ended; it is kept out for a while'
+const QUARANTINED_DETAIL = 'the servers that ran this request ended; it is kept out for a while'
 
 /** What every delivery of one daemon shares. */
 interface DeliveryTools {
@@ -53,11 +53,11 @@
   /** Sends until an answer begins. Takes its place at a server before the first wait. */
   async open (body: Buffer | null): Promise<Result<OpenExchange, Refusal>> {
     for (;;) {
-      const place = this.tryPlace()
-      const server = place ?? await this.waitForPlace()
+      const available = this.tryChoose()
+      const server = available ?? await this.waitForServer()
       if ('cause' in server) return Err(server)
       this.tried.push(server)
-      const opened = await this.tools.sender.send(server, this.request, { body, fingerprint: this.fingerprint, headerTimeout: this.getPatience() })
+      const opened = await this.tools.sender.send(server, this.request, { body, fingerprint: this.fingerprint, headerTimeout: this.getTimeout() })
       if (opened.ok) {
         this.sent = true
         return Ok(opened.val)
@@ -97,10 +97,10 @@
   }
 
   /** A server now, a refusal that no wait would change, or undefined. */
-  private tryPlace (): BackendServer | Refusal | undefined {
-    const standing = this.tools.quarantine.check(this.fingerprint)
-    if (standing === 'quarantined') return this.refuse('quarantined', KEPT_OUT)
-    if (standing === 'suspect') return undefined
+  private tryChoose (): BackendServer | Refusal | undefined {
+    const status = this.tools.quarantine.check(this.fingerprint)
+    if (status === 'quarantined') return this.refuse('quarantined', QUARANTINED_DETAIL)
+    if (status === 'suspect') return undefined
     const open = this.listOpen()
     if (open.length === 0) return this.refuse('no server', 'no server of the pool is open')
     const server = this.choose(open)
@@ -127,13 +127,13 @@
     return chooseServer(open.filter(({ name }) => name === same), options) ?? chooseServer(untried.length > 0 ? untried : open, options)
   }
 
-  private async waitForPlace (): Promise<BackendServer | Refusal> {
+  private async waitForServer (): Promise<BackendServer | Refusal> {
     const { quarantine, clock, servers } = this.tools
     const end = Math.min(this.request.deadline, clock.now() + this.options.retryWait)
     for (;;) {
       const suspect = quarantine.check(this.fingerprint) === 'suspect'
-      const place = suspect ? await this.waitForTrial() : this.tryPlace()
-      if (place !== undefined) return place
+      const chosen = suspect ? await this.waitForTrial() : this.tryChoose()
+      if (chosen !== undefined) return chosen
       if (suspect) continue
       if (clock.now() >= end || this.request.signal?.aborted === true) return this.refuse('overloaded', 'every other server is at its limit')
       await servers.waitForRelease(end - clock.now())
@@ -147,7 +147,7 @@
     const outcome = await this.tools.trials.wait(this.fingerprint, () => this.listOpen().map(({ name }) => name), this.request)
     switch (outcome) {
       case 'cleared': return undefined
-      case 'quarantined': return this.refuse('quarantined', KEPT_OUT)
+      case 'quarantined': return this.refuse('quarantined', QUARANTINED_DETAIL)
       case 'deadline': return this.refuse('deadline', 'its deadline passed before it could be tried alone')
       default:
         this.trial = outcome
@@ -156,7 +156,7 @@
   }
 
   /** How long to wait for a server that says nothing, ms. */
-  getPatience (): number {
+  getTimeout (): number {
     const left = Math.max(1, this.request.deadline - this.tools.clock.now())
     return this.request.idempotent ? Math.min(left, this.options.getTimeout(left)) : left
   }
--- a/src/routing/dispatcher.ts
+++ b/src/routing/dispatcher.ts
@@ -57,29 +57,29 @@
    */
   async send (request: ServerRequest): Promise<Result<ServerAnswer, Refusal>> {
     const { budget, times } = this.readPool(request.pool)
-    const asked = readModelRequest(request)
+    const modelRequest = readModelRequest(request)
     const model = this.findModel(request.service)
     const { servers, sender, quarantine, trials, clock, random } = this
     const delivery = new Delivery(request, { servers, sender, quarantine, trials, clock, random, budget }, {
-      key: asked === undefined ? undefined : `${request.service}\0${asked.prefix}`,
-      getTimeout: left => asked?.stream === true && model !== undefined ? times.getFirstPatience(model) : left / 2,
+      key: modelRequest === undefined ? undefined : `${request.service}\0${modelRequest.prefix}`,
+      getTimeout: left => modelRequest?.stream === true && model !== undefined ? times.getFirstTokenTimeout(model) : left / 2,
       retryWait: this.configuration.value.limits.queueWait
     })
     const opened = await delivery.open(request.body ?? null)
     if (opened.err) return opened
-    if (asked !== undefined && model !== undefined && opened.val.exchange.isStream()) return Ok(this.answerStream(opened.val, delivery, asked, model, times))
+    if (modelRequest !== undefined && model !== undefined && opened.val.exchange.isStream()) return Ok(this.answerStream(opened.val, delivery, modelRequest, model, times))
     return await this.answerWhole(opened.val, delivery, model)
   }
 
-  private answerStream (first: OpenExchange, delivery: Delivery, asked: ModelRequest, model: Model, times: ModelTimes): ServerAnswer {
+  private answerStream (first: OpenExchange, delivery: Delivery, modelRequest: ModelRequest, model: Model, times: ModelTimes): ServerAnswer {
     const stream = new ModelStream(first, {
       delivery,
-      model: asked,
+      model: modelRequest,
       canResume: model.resume === true,
-      getPatience: tokens => tokens === 0 ? times.getFirstPatience(model) : times.getBetweenPatience(model),
+      getTimeout: tokens => tokens === 0 ? times.getFirstTokenTimeout(model) : times.getTokenGapTimeout(model),
       onTokens: ({ server }, tokens, isFirst, wait) => {
-        if (isFirst) times.recordFirst(wait)
-        else times.recordBetween(wait / tokens)
+        if (isFirst) times.recordFirstToken(wait)
+        else times.recordTokenGap(wait / tokens)
         if (isFirst) this.servers.record(server.name, wait / model.firstToken, delivery.request.limit)
       },
       now: () => this.clock.now()
@@ -98,7 +98,7 @@
 
   private async answerWhole (first: OpenExchange, delivery: Delivery, model: Model | undefined): Promise<Result<ServerAnswer, Refusal>> {
     for (let open = first; ;) {
-      const read = await readWholeAnswer(open, () => delivery.getPatience())
+      const read = await readWholeAnswer(open, () => delivery.getTimeout())
       if (read.ok) {
         const { body, tokens } = read.val
         const { server, exchange: { status, headers } } = open
--- a/src/routing/exchange.ts
+++ b/src/routing/exchange.ts
@@ -24,7 +24,7 @@
 export class Exchange {
   status = 0
   headers: Readonly<Record<string, string | string[] | undefined>> = {}
-  private readonly mark = { sent: false, mayStart: () => this.confirmStart() }
+  private readonly sendState = { sent: false, mayStart: () => this.confirmStart() }
   private readonly abort = new AbortController()
   private body?: AsyncIterator<Buffer>
   private why: SendFailure['why'] = 'cut'
@@ -38,11 +38,11 @@
   }
 
   /** Sends the request and waits up to `patience` ms for the head of the answer. */
-  async open (patience: number): Promise<Result<void, SendFailure>> {
+  async open (timeout: number): Promise<Result<void, SendFailure>> {
     const { agent, origin, path, method, headers, body } = this.options
-    return await this.watch(patience, async () => {
+    return await this.withTimeout(timeout, async () => {
       const answer = await agent.request({
-        origin, path, method: method as 'POST', headers, body, signal: this.abort.signal, opaque: this.mark, headersTimeout: 0, bodyTimeout: 0
+        origin, path, method: method as 'POST', headers, body, signal: this.abort.signal, opaque: this.sendState, headersTimeout: 0, bodyTimeout: 0
       })
       this.status = answer.statusCode
       this.headers = answer.headers
@@ -51,8 +51,8 @@
   }
 
   /** The next bytes of the body, waiting up to `patience` ms for them; undefined at its end. */
-  async read (patience: number): Promise<Result<Buffer | undefined, SendFailure>> {
-    return await this.watch(patience, async () => {
+  async read (timeout: number): Promise<Result<Buffer | undefined, SendFailure>> {
+    return await this.withTimeout(timeout, async () => {
       const next = await this.body!.next()
       return next.done === true ? undefined : next.value
     })
@@ -65,7 +65,7 @@
 
   /** Whether a byte of the request can have left. */
   isSent (): boolean {
-    return this.mark.sent
+    return this.sendState.sent
   }
 
   /** Gives the exchange up. To do so after its end changes nothing. */
@@ -80,12 +80,12 @@
     return may
   }
 
-  private async watch<T> (patience: number, wait: () => Promise<T>): Promise<Result<T, SendFailure>> {
-    const cancel = this.options.clock.after(patience, () => this.abandon('silent'))
+  private async withTimeout<T> (timeout: number, wait: () => Promise<T>): Promise<Result<T, SendFailure>> {
+    const cancel = this.options.clock.after(timeout, () => this.abandon('silent'))
     try {
       return Ok(await wait())
     } catch (error) {
-      const { sent } = this.mark
+      const { sent } = this.sendState
       return Err({ sent, why: !sent && this.why === 'cut' ? 'unreachable' : this.why, detail: (error as Error).message })
     } finally {
       cancel()
--- a/src/routing/forwarding.ts
+++ b/src/routing/forwarding.ts
@@ -22,8 +22,8 @@
 import { stepEventProgress } from './step-event-progress.js'
 
 /** Longest wait for the first byte and between two, ms, while another server may take the request over. */
-const FIRST_PATIENCE = 900
-const BETWEEN_PATIENCE = 600
+const FIRST_BYTE_TIMEOUT = 900
+const READ_TIMEOUT = 600
 /** Come back after this where what was sent to came to nothing and none of it ran, ms. */
 const RETRY_AFTER = 500
 /** Statuses by which a server says that its own run failed. */
@@ -62,7 +62,7 @@
   private runs = 0
   /** Whether the answer to the caller has begun. */
   private begun = false
-  private last: number | undefined
+  private lastEventId: number | undefined
 
   constructor (private readonly request: RoutedRequest, private readonly service: string, private readonly sink: AnswerSink, private readonly tools: ForwardingTools) {
     this.fingerprint = hashRequest({ caller: request.route.host, service, path: request.path, body: request.body })
@@ -71,8 +71,8 @@
   /** Resolves when the caller has its final answer. */
   async run (): Promise<void> {
     const { request, tools: { clock } } = this
-    const onGone = (): void => this.abort.abort()
-    request.signal.addEventListener('abort', onGone, { once: true })
+    const onCallerLeft = (): void => this.abort.abort()
+    request.signal.addEventListener('abort', onCallerLeft, { once: true })
     const cancel = clock.after(Math.max(0, request.deadline - clock.now()), () => {
       this.timedOut = true
       this.abort.abort()
@@ -81,25 +81,25 @@
       await this.send()
     } finally {
       cancel()
-      request.signal.removeEventListener('abort', onGone)
+      request.signal.removeEventListener('abort', onCallerLeft)
     }
   }
 
   private async send (): Promise<void> {
     for (;;) {
       if (this.tools.quarantine.check(this.fingerprint) === 'quarantined') return this.finish(this.refuse('quarantined', 'the servers that ran this request ended'))
-      const placed = await this.takePlace()
-      if ('cause' in placed) return this.finish(placed)
+      const slot = await this.waitForSlot()
+      if ('cause' in slot) return this.finish(slot)
       const sentAt = this.tools.clock.now()
-      const opened = await placed.opened
+      const opened = await slot.opened
       const failure = opened.err ? opened.val : await this.relay(opened.val)
       if (failure === undefined) return this.tools.queue.recordHoldTime(this.service, this.tools.clock.now() - sentAt)
-      if (!this.plan(failure, placed.server)) return
+      if (!this.plan(failure, slot.server)) return
     }
   }
 
   /** Waits for a slot; the send begins in the turn in which it is given. */
-  private async takePlace (): Promise<{ readonly server: string, readonly opened: Promise<Opened> } | Refusal> {
+  private async waitForSlot (): Promise<{ readonly server: string, readonly opened: Promise<Opened> } | Refusal> {
     const { request, request: { route }, tools } = this
     return await new Promise(resolve => {
       tools.queue.request({
@@ -123,7 +123,7 @@
   private async open (server: string): Promise<Opened> {
     const { request, tools: { dialect, sender, servers, clock } } = this
     const target = servers.find(server)!
-    const resumeAfter = this.last === undefined ? request.resumeAfter : String(this.last)
+    const resumeAfter = this.lastEventId === undefined ? request.resumeAfter : String(this.lastEventId)
     return await sender.send(target, {
       id: request.id,
       caller: request.route.host,
@@ -138,14 +138,14 @@
       deadline: request.deadline,
       limit: Infinity,
       signal: this.abort.signal
-    }, { body: request.body ?? null, fingerprint: this.fingerprint, headerTimeout: this.getPatience(FIRST_PATIENCE) })
+    }, { body: request.body ?? null, fingerprint: this.fingerprint, headerTimeout: this.getTimeout(FIRST_BYTE_TIMEOUT) })
   }
 
   /** A server that says nothing is given up only where another one may take over; silence alone is no reason otherwise. */
-  private getPatience (usual: number): number {
+  private getTimeout (preferred: number): number {
     const { request: { route, deadline }, tools: { clock } } = this
     const left = Math.max(1, deadline - clock.now())
-    return route.idempotent && this.runs + 1 < route.attempts ? Math.min(usual, left) : left
+    return route.idempotent && this.runs + 1 < route.attempts ? Math.min(preferred, left) : left
   }
 
   private async relay (open: OpenExchange): Promise<SendFailure | undefined> {
@@ -153,13 +153,13 @@
     const { dialect } = this.tools
     const id = dialect.readRequestId(headers)
     if (id !== undefined && id !== this.request.id) return await this.fail(open, { why: 'cut', sent: true, detail: `the answer belongs to ${id}` })
-    if (dialect.isNotRun(status, headers)) return await this.passOver(open)
+    if (dialect.isNotRun(status, headers)) return await this.handleNotRun(open)
     if (status >= REDIRECTED || !open.exchange.isStream()) return await this.relayWhole(open)
     return await this.relayEvents(open)
   }
 
   /** The server refused: another one may take it. */
-  private async passOver (open: OpenExchange): Promise<SendFailure | undefined> {
+  private async handleNotRun (open: OpenExchange): Promise<SendFailure | undefined> {
     const { status } = open.exchange
     const body = await this.readAll(open)
     if (!this.begun && status < SERVER_ERROR && status !== MISDIRECTED && status !== TOO_MANY) {
@@ -177,34 +177,34 @@
     const body = await this.readAll(open)
     if (body === undefined) return await this.fail(open, { why: 'cut', sent: true, detail: 'the answer broke off' })
     open.end('answered')
-    if (status >= SERVER_ERROR && this.mayRepeat()) {
+    if (status >= SERVER_ERROR && this.mayRetry()) {
       this.tools.servers.observe(open.server.name, 'failed')
       return { why: 'cut', sent: true, detail: `status ${status}` }
     }
     // What is left of a stream that has begun can't be told by a status.
     if (this.begun) return { why: 'cut', sent: true, detail: `status ${status} to a resumed stream` }
     this.sink.answer(status, headers, body)
-    this.noteAnswer(open)
+    this.recordAnswer(open)
     return undefined
   }
 
   private async readAll (open: OpenExchange): Promise<Buffer | undefined> {
-    const body = await readToEnd(open.exchange, () => this.getPatience(BETWEEN_PATIENCE))
+    const body = await readToEnd(open.exchange, () => this.getTimeout(READ_TIMEOUT))
     return body.ok ? body.val : undefined
   }
 
   private async relayEvents (open: OpenExchange): Promise<SendFailure | undefined> {
-    const cutter = new SseSplitter()
+    const splitter = new SseSplitter()
     for (;;) {
-      const bytes = await open.exchange.read(this.getPatience(this.last === undefined ? FIRST_PATIENCE : BETWEEN_PATIENCE))
+      const bytes = await open.exchange.read(this.getTimeout(this.lastEventId === undefined ? FIRST_BYTE_TIMEOUT : READ_TIMEOUT))
       if (bytes.err) return await this.fail(open, bytes.val)
-      if (bytes.val === undefined) return await this.endEvents(open, cutter)
+      if (bytes.val === undefined) return await this.endEvents(open, splitter)
       const relayed: Buffer[] = []
-      for (const { bytes: event, id } of cutter.push(bytes.val)) {
-        const step = stepEventProgress({ last: this.last }, id)
-        if (step.type === 'gap') return await this.fail(open, { why: 'cut', sent: true, detail: `event ${id} after ${this.last}` })
+      for (const { bytes: event, id } of splitter.push(bytes.val)) {
+        const step = stepEventProgress({ last: this.lastEventId }, id)
+        if (step.type === 'gap') return await this.fail(open, { why: 'cut', sent: true, detail: `event ${id} after ${this.lastEventId}` })
         if (step.type === 'known') continue
-        this.last = step.progress.last
+        this.lastEventId = step.progress.last
         relayed.push(event)
       }
       if (relayed.length === 0) continue
@@ -219,12 +219,12 @@
     this.sink.begin(status, headers)
   }
 
-  private async endEvents (open: OpenExchange, cutter: SseSplitter): Promise<SendFailure | undefined> {
-    if (!cutter.isAtBoundary) return await this.fail(open, { why: 'cut', sent: true, detail: 'it ended within an event' })
+  private async endEvents (open: OpenExchange, splitter: SseSplitter): Promise<SendFailure | undefined> {
+    if (!splitter.isAtBoundary) return await this.fail(open, { why: 'cut', sent: true, detail: 'it ended within an event' })
     open.end('answered')
     if (!this.begun) this.begin(open)
     this.sink.end()
-    this.noteAnswer(open)
+    this.recordAnswer(open)
     return undefined
   }
 
@@ -234,7 +234,7 @@
   }
 
   /** Whether another server may run it after the one that just has. */
-  private mayRepeat (): boolean {
+  private mayRetry (): boolean {
     return this.request.route.idempotent && this.runs + 1 < this.request.route.attempts && !this.abort.signal.aborted
   }
 
@@ -263,18 +263,18 @@
   /** Gives the final answer where no server gave it. */
   private finish (refusal: Refusal): void {
     const { log, clock } = this.tools
-    const gone = this.request.signal.aborted
-    const outcome = gone ? 'caller left' : this.timedOut ? 'deadline' : refusal.cause
+    const callerLeft = this.request.signal.aborted
+    const outcome = callerLeft ? 'caller left' : this.timedOut ? 'deadline' : refusal.cause
     log.write('warn', 'routing', 'gave a request up', { request: this.request.id, cause: outcome, ran: this.ran, begun: this.begun, waited: Math.round(clock.now() - this.request.arrived), tried: this.tried, detail: refusal.detail })
     this.count(outcome)
     if (this.begun) this.sink.abort()
-    else if (!gone) this.sink.refuse({ ...refusal, cause: this.timedOut ? 'deadline' : refusal.cause, ran: this.ran })
+    else if (!callerLeft) this.sink.refuse({ ...refusal, cause: this.timedOut ? 'deadline' : refusal.cause, ran: this.ran })
   }
 
-  private noteAnswer ({ server, exchange: { status }, sentAt }: OpenExchange): void {
+  private recordAnswer ({ server, exchange: { status }, sentAt }: OpenExchange): void {
     const { log, clock } = this.tools
     const { id, arrived } = this.request
-    log.write('info', 'routing', 'answered a request', { request: id, service: this.service, server: server.name, status, tried: this.tried.length, sentAfter: Math.round(sentAt - arrived), after: Math.round(clock.now() - arrived), events: this.last })
+    log.write('info', 'routing', 'answered a request', { request: id, service: this.service, server: server.name, status, tried: this.tried.length, sentAfter: Math.round(sentAt - arrived), after: Math.round(clock.now() - arrived), events: this.lastEventId })
     this.count('answered')
   }
 
--- a/src/routing/is-gone.ts
+++ b/src/routing/is-server-gone.ts
@@ -5,15 +5,15 @@
  * ends enough to hold it for alive, the request that ended it would go on to the next server with nothing held against it. So
  * the server has to answer.
  */
-export async function isGone (url: string): Promise<boolean> {
+export async function isServerGone (url: string): Promise<boolean> {
   const { hostname, port, host } = new URL(url)
-  return await isAddressGone({ host: hostname, port: Number(port), question: buildQuestion(host) })
+  return await isAddressGone({ host: hostname, port: Number(port), question: buildProbe(host) })
 }
 
 /**
  * A request that a server can read and that is no call of its own: it names no resource (RFC 9110, section 9.3.7), and its
  * unknown expectation lets the server turn it down before any handler (section 10.1.1).
  */
-function buildQuestion (host: string): string {
+function buildProbe (host: string): string {
   return `OPTIONS * HTTP/1.1\r\nhost: ${host}\r\nexpect: refusal\r\nconnection: close\r\n\r\n`
 }
--- a/src/routing/model-stream.ts
+++ b/src/routing/model-stream.ts
@@ -6,13 +6,13 @@
 import type { OpenExchange } from './open-exchange.js'
 import type { SendFailure } from './send-failure.js'
 import { SseReader } from './sse-reader.js'
-import { showStreamError } from './show-stream-error.js'
+import { formatStreamError } from './format-stream-error.js'
 import { stepProgress } from './step-progress.js'
 import type { StreamProgress } from './stream-progress.js'
 
 const DONE = 'data: [DONE]\n\n'
 /** How long the end of the body may take after `[DONE]` for its connection to be kept, ms. */
-const END_PATIENCE = 100
+const END_TIMEOUT = 100
 
 interface ModelStreamOptions {
   readonly delivery: Delivery
@@ -20,7 +20,7 @@
   /** Whether the servers go on from tokens given. */
   readonly canResume: boolean
   /** Longest silence before the first token and between tokens, ms. */
-  readonly getPatience: (tokens: number) => number
+  readonly getTimeout: (tokens: number) => number
   /** Hears, once a read, how many tokens came and how long the wait for them was. */
   readonly onTokens: (exchange: OpenExchange, tokens: number, first: boolean, wait: number) => void
   readonly now: () => number
@@ -36,14 +36,14 @@
   /** Why it ended before it was whole. */
   failure?: Refusal
   private readonly tokens: string[] = []
-  private progress: StreamProgress = { given: 0, carried: 0, finished: false, done: false, resumable: true }
+  private progress: StreamProgress = { tokenCount: 0, earlierTokenCount: 0, finished: false, done: false, resumable: true }
 
   constructor (private current: OpenExchange, private readonly options: ModelStreamOptions) {
     this.body = Readable.from(this.relay(), { objectMode: false })
   }
 
   countTokens (): number {
-    return Math.max(this.progress.usage ?? 0, this.progress.given)
+    return Math.max(this.progress.usage ?? 0, this.progress.tokenCount)
   }
 
   end (whole: boolean): void {
@@ -60,7 +60,7 @@
       const next = await this.resume(failure)
       if (next.err) {
         this.failure = next.val
-        yield showStreamError(next.val)
+        yield formatStreamError(next.val)
         return
       }
       this.current = next.val
@@ -70,34 +70,34 @@
   /** Relays one server's part of the answer; gives back the failure that ended it, if any. */
   private async * relayExchange (): AsyncGenerator<string, SendFailure | undefined> {
     const reader = new SseReader()
-    let before = 0
+    let received = 0
     while (!this.progress.done) {
-      const asked = this.options.now()
-      const bytes = await this.current.exchange.read(this.options.getPatience(before))
-      const cut = bytes.err ? bytes.val : bytes.val === undefined ? { why: 'cut', sent: true, detail: 'it ended before it was whole' } as const : undefined
-      if (cut !== undefined) return yield * this.finish(cut)
-      const known = this.progress.given
-      const relayed = this.take(reader, bytes.unwrap()!)
-      const given = this.progress.given - known
-      if (given > 0) this.options.onTokens(this.current, given, before === 0, this.options.now() - (before === 0 ? this.current.sentAt : asked))
-      before += given
+      const readAt = this.options.now()
+      const bytes = await this.current.exchange.read(this.options.getTimeout(received))
+      const failure = bytes.err ? bytes.val : bytes.val === undefined ? { why: 'cut', sent: true, detail: 'it ended before it was whole' } as const : undefined
+      if (failure !== undefined) return yield * this.finish(failure)
+      const knownCount = this.progress.tokenCount
+      const relayed = this.processBytes(reader, bytes.unwrap()!)
+      const newCount = this.progress.tokenCount - knownCount
+      if (newCount > 0) this.options.onTokens(this.current, newCount, received === 0, this.options.now() - (received === 0 ? this.current.sentAt : readAt))
+      received += newCount
       if (relayed !== '') yield relayed
     }
-    await this.current.exchange.read(END_PATIENCE)
+    await this.current.exchange.read(END_TIMEOUT)
     return undefined
   }
 
   /** An answer that has named its end lacks nothing but the mark; any other that stops is cut. */
   private async * finish (failure: SendFailure): AsyncGenerator<string, SendFailure | undefined> {
-    const lacksUsage = this.options.model.includeUsage && this.progress.usage === undefined
-    if (!this.progress.finished || lacksUsage || failure.why === 'abandoned') return failure
+    const isUsageMissing = this.options.model.includeUsage && this.progress.usage === undefined
+    if (!this.progress.finished || isUsageMissing || failure.why === 'abandoned') return failure
     this.progress = { ...this.progress, done: true }
     await this.current.fail(failure)
     yield DONE
     return undefined
   }
 
-  private take (reader: SseReader, bytes: Buffer): string {
+  private processBytes (reader: SseReader, bytes: Buffer): string {
     let relayed = ''
     for (const event of reader.push(bytes)) {
       const { progress, relay = '', token } = stepProgress(this.progress, event)
@@ -110,14 +110,14 @@
 
   private async resume (failure: SendFailure): Promise<Result<OpenExchange, Refusal>> {
     const { delivery, model, canResume } = this.options
-    const { given, resumable } = this.progress
-    const started = given > 0
+    const { tokenCount, resumable } = this.progress
+    const started = tokenCount > 0
     if (this.progress.finished) return Err(delivery.refuse('server failed', 'the answer was cut before its usage came'))
     if (started && !(canResume && resumable)) return Err(delivery.refuse('server failed', `the answer was cut (${failure.why}) and its servers can't resume it`))
     const refusal = delivery.plan(failure)
     if (refusal !== undefined) return Err(refusal)
     const next = await delivery.open(started ? model.resume(this.tokens) : delivery.request.body ?? null)
-    this.progress = { ...this.progress, carried: given }
+    this.progress = { ...this.progress, earlierTokenCount: tokenCount }
     if (next.err || next.val.exchange.isStream()) return next
     next.val.end('abandoned')
     return Err(delivery.refuse('server failed', `the next server answered ${next.val.exchange.status}`))
--- a/src/routing/model-times.ts
+++ b/src/routing/model-times.ts
@@ -1,29 +1,29 @@
 import type { Model } from '../config/model.js'
 import { TimeEstimate } from './time-estimate.js'
 
-const LOWEST_SILENCE = 500
-const LOWEST_FIRST = 1_000
+const MIN_TOKEN_GAP_TIMEOUT = 500
+const MIN_FIRST_TOKEN_TIMEOUT = 1_000
 
 /** Observed times of one pool's streamed answers, and how long its servers may say nothing. All in ms. */
 export class ModelTimes {
-  private readonly first = new TimeEstimate()
-  private readonly between = new TimeEstimate()
+  private readonly firstToken = new TimeEstimate()
+  private readonly tokenGap = new TimeEstimate()
 
-  recordFirst (time: number): void {
-    this.first.record(time)
+  recordFirstToken (time: number): void {
+    this.firstToken.record(time)
   }
 
-  recordBetween (time: number): void {
-    this.between.record(time)
+  recordTokenGap (time: number): void {
+    this.tokenGap.record(time)
   }
 
   /** Longest wait for the first bytes of a stream: between two and ten targets, as observed times have it. */
-  getFirstPatience ({ firstToken }: Model): number {
-    return this.first.getPatience(Math.max(LOWEST_FIRST, 2 * firstToken), Math.max(LOWEST_FIRST, 10 * firstToken))
+  getFirstTokenTimeout ({ firstToken }: Model): number {
+    return this.firstToken.getTimeout(Math.max(MIN_FIRST_TOKEN_TIMEOUT, 2 * firstToken), Math.max(MIN_FIRST_TOKEN_TIMEOUT, 10 * firstToken))
   }
 
   /** Longest wait between tokens: between five and fifty targets, as observed times have it. */
-  getBetweenPatience ({ betweenTokens }: Model): number {
-    return this.between.getPatience(Math.max(LOWEST_SILENCE, 5 * betweenTokens), Math.max(LOWEST_SILENCE, 50 * betweenTokens))
+  getTokenGapTimeout ({ betweenTokens }: Model): number {
+    return this.tokenGap.getTimeout(Math.max(MIN_TOKEN_GAP_TIMEOUT, 5 * betweenTokens), Math.max(MIN_TOKEN_GAP_TIMEOUT, 50 * betweenTokens))
   }
 }
--- a/src/routing/plan-daemon-limit.ts
+++ b/src/routing/plan-daemon-limit.ts
@@ -1,4 +1,4 @@
-interface PartOptions {
+interface DaemonLimitOptions {
   /** Requests of all daemons that may be in flight at the server; undefined while its owner hasn't said. */
   readonly limit: number | undefined
   /** What the others have in flight there; undefined where that isn't known. */
@@ -16,8 +16,8 @@
  * up here and down there, so that the parts add up. What the others don't use is lent to it. Several may borrow the same places until the next
  * count: the limit is then exceeded by what was lent twice, for as long as a count takes.
  */
-export function planDaemonLimit ({ limit, others, daemons, fraction, rounding = 0.5 }: PartOptions): number {
+export function planDaemonLimit ({ limit, others, daemons, fraction, rounding = 0.5 }: DaemonLimitOptions): number {
   if (limit === undefined) return Infinity
-  const part = fraction === undefined ? Math.ceil(limit / daemons) : Math.floor(limit * fraction + rounding)
-  return Math.max(part, others === undefined ? 0 : limit - others)
+  const reserved = fraction === undefined ? Math.ceil(limit / daemons) : Math.floor(limit * fraction + rounding)
+  return Math.max(reserved, others === undefined ? 0 : limit - others)
 }
--- a/src/routing/quarantine.ts
+++ b/src/routing/quarantine.ts
@@ -11,20 +11,20 @@
 import { peerHandlerPoint } from '../peers/peer-handler-point.js'
 import { PeerLinks } from '../peers/peer-links.js'
 import type { PeerMessage } from '../peers/peer-message.js'
-import { listSettling } from './list-settling.js'
-import { LossWords } from './loss-words.js'
+import { listRecentLosses } from './list-recent-losses.js'
+import { LossReports } from './loss-reports.js'
 import type { QuarantineEvent } from './quarantine-event.js'
 import type { QuarantineState } from './quarantine-state.js'
 import { stepQuarantine } from './step-quarantine.js'
 
 /** Lost servers at which a fingerprint is kept out. */
-const LOSSES = 2
+const QUARANTINE_LOSSES = 2
 /** How long what is held against a fingerprint is kept, ms. */
-const KEEP = 600_000
+const SUSPECT_TTL = 600_000
 /** Longest wait for the other daemons' word of what they had in flight at a lost server, ms. */
-const WORD_WAIT = 1_000
+const REPORT_TIMEOUT = 1_000
 /** After what times the word of a loss is repeated, ms: a link that has gone silent is replaced within 2.5 s. */
-const REPEATS = [1_000, 3_000]
+const RESEND_DELAYS = [1_000, 3_000]
 
 interface InFlight { readonly exchange: number, readonly fingerprint: string, readonly server: string }
 
@@ -40,17 +40,17 @@
 @scoped(Lifecycle.ContainerScoped)
 export class Quarantine implements Part {
   readonly extensions = [
-    peerHandlerPoint.of({ type: 'suspect', handle: (message, from) => this.hear(message, from) }),
-    peerHandlerPoint.of({ type: 'suspect-known', handle: ({ server }, from) => { this.words.hear(String(server), from) } }),
+    peerHandlerPoint.of({ type: 'suspect', handle: (message, from) => this.receiveAccusation(message, from) }),
+    peerHandlerPoint.of({ type: 'suspect-known', handle: ({ server }, from) => { this.lossReports.receive(String(server), from) } }),
     peerHandlerPoint.of({ type: 'suspect-passed', handle: ({ fingerprint }) => { this.apply({ type: 'passed', fingerprint: String(fingerprint) }) } }),
     peerHandlerPoint.of({ type: 'suspect-released', handle: ({ fingerprint }) => { this.apply({ type: 'released', fingerprint: String(fingerprint) }) } })
   ]
 
   private state: QuarantineState = { inFlight: new Map(), suspects: new Map(), lost: new Map() }
-  private exchanges = 0
+  private nextExchange = 0
   /** By exchange in flight: whether a byte of it can have left. */
-  private readonly sent = new Map<number, () => boolean>()
-  private readonly words = new LossWords()
+  private readonly sentChecks = new Map<number, () => boolean>()
+  private readonly lossReports = new LossReports()
   private readonly listeners = new Set<(fingerprints: readonly string[]) => void>()
 
   constructor (
@@ -66,7 +66,7 @@
   check (fingerprint: string): 'clear' | 'suspect' | 'quarantined' {
     const suspect = this.state.suspects.get(fingerprint)
     if (suspect === undefined || suspect.until <= this.clock.now() || suspect.losses.length === 0) return 'clear'
-    return suspect.losses.length >= LOSSES ? 'quarantined' : 'suspect'
+    return suspect.losses.length >= QUARANTINE_LOSSES ? 'quarantined' : 'suspect'
   }
 
   /**
@@ -74,11 +74,11 @@
    * it gives back ends that and may be called again.
    */
   begin (fingerprint: string, server: string, isSent: () => boolean = () => true): () => void {
-    const exchange = this.exchanges++
-    this.sent.set(exchange, isSent)
+    const exchange = this.nextExchange++
+    this.sentChecks.set(exchange, isSent)
     this.apply({ type: 'began', exchange, fingerprint, server })
     return () => {
-      this.sent.delete(exchange)
+      this.sentChecks.delete(exchange)
       this.apply({ type: 'ended', exchange })
     }
   }
@@ -89,15 +89,15 @@
   }
 
   /** What is so new that not all daemons may know of it. */
-  listSettling (): ReturnType<typeof listSettling> {
-    return listSettling(this.state, this.clock.now())
+  listRecentLosses (): ReturnType<typeof listRecentLosses> {
+    return listRecentLosses(this.state, this.clock.now())
   }
 
   /** Tells a daemon of what is new, but for what it `knows`. */
-  remind (daemon: string, knows: (fingerprint: string) => boolean = () => false): void {
+  resendAccusations (daemon: string, isKnown: (fingerprint: string) => boolean = () => false): void {
     if (daemon === this.settings.instance) return
-    for (const { fingerprint, server, ago } of this.listSettling().suspects) {
-      if (!knows(fingerprint)) this.links.send(daemon, { type: 'suspect', server, ago, fingerprints: [fingerprint] })
+    for (const { fingerprint, server, ago } of this.listRecentLosses().suspects) {
+      if (!isKnown(fingerprint)) this.links.send(daemon, { type: 'suspect', server, ago, fingerprints: [fingerprint] })
     }
   }
 
@@ -120,9 +120,9 @@
 
   /** Holds the end of the server's process against all that was in flight there, and tells the other daemons. */
   onServerLost (server: string, ago = 0): void {
-    const accused = this.lose(server, ago)
-    if (accused.length > 0) this.tell({ type: 'suspect', server, ago, fingerprints: accused })
-    this.repeat(server, accused, ago)
+    const accused = this.recordLoss(server, ago)
+    if (accused.length > 0) this.publish({ type: 'suspect', server, ago, fingerprints: accused })
+    this.scheduleResends(server, accused, ago)
   }
 
   /**
@@ -132,33 +132,33 @@
    */
   async waitForLossReports (server: string): Promise<void> {
     const others = listOthers(this.members.all(), this.settings.instance)
-    if (this.words.begin(server, others)) {
-      const accused = this.lose(server)
-      this.tell({ type: 'suspect', server, fingerprints: accused, answer: true })
-      this.repeat(server, accused)
+    if (this.lossReports.begin(server, others)) {
+      const accused = this.recordLoss(server)
+      this.publish({ type: 'suspect', server, fingerprints: accused, answer: true })
+      this.scheduleResends(server, accused)
     }
-    const cancel = this.clock.after(WORD_WAIT, () => this.words.finish(server))
-    await new Promise<void>(resolve => this.words.wait(server, resolve))
+    const cancel = this.clock.after(REPORT_TIMEOUT, () => this.lossReports.finish(server))
+    await new Promise<void>(resolve => this.lossReports.wait(server, resolve))
     cancel()
   }
 
   /** A server that answers again: of its next end, the others' word is new. */
   onServerAnswered (server: string): void {
-    this.words.forget(server)
+    this.lossReports.forget(server)
   }
 
   /** Counts a whole answer of a request against which something is held; enough of them clear it. */
   pass (fingerprint: string): void {
     if (this.check(fingerprint) === 'clear') return
     this.apply({ type: 'passed', fingerprint })
-    this.tell({ type: 'suspect-passed', fingerprint })
+    this.publish({ type: 'suspect-passed', fingerprint })
   }
 
   /** Holds nothing against it any more, at any daemon; says whether anything was held here. */
   release (fingerprint: string): boolean {
     if (this.check(fingerprint) === 'clear') return false
     this.apply({ type: 'released', fingerprint })
-    this.tell({ type: 'suspect-released', fingerprint })
+    this.publish({ type: 'suspect-released', fingerprint })
     return true
   }
 
@@ -171,25 +171,25 @@
   }
 
   /** What this daemon had in flight there goes out before its answer, over the same link. */
-  private hear ({ fingerprints, server, ago = 0, answer }: PeerMessage, from: string): void {
+  private receiveAccusation ({ fingerprints, server, ago = 0, answer }: PeerMessage, from: string): void {
     if (!Array.isArray(fingerprints)) return
     this.accuse(fingerprints.map(String), String(server), Number(ago))
     if (answer === true) this.links.send(from, { type: 'suspect-known', server })
   }
 
   /** Tells again what is still held: the first word may be lost, and each daemon without it gives the request one more server to end. */
-  private repeat (server: string, accused: readonly string[], ago = 0): void {
+  private scheduleResends (server: string, accused: readonly string[], ago = 0): void {
     if (accused.length === 0) return
-    for (const time of REPEATS) {
+    for (const time of RESEND_DELAYS) {
       this.clock.after(time, () => {
         const fingerprints = accused.filter(fingerprint => this.check(fingerprint) !== 'clear')
-        if (fingerprints.length > 0) this.tell({ type: 'suspect', server, ago: ago + time, fingerprints })
+        if (fingerprints.length > 0) this.publish({ type: 'suspect', server, ago: ago + time, fingerprints })
       })
     }
   }
 
-  private lose (server: string, ago = 0): readonly string[] {
-    const unsent = new Set([...this.sent].flatMap(([exchange, isSent]) => isSent() ? [] : [exchange]))
+  private recordLoss (server: string, ago = 0): readonly string[] {
+    const unsent = new Set([...this.sentChecks].flatMap(([exchange, isSent]) => isSent() ? [] : [exchange]))
     const accused = this.apply({ type: 'lost', server, ago, unsent })
     if (accused.length > 0) {
       this.log.write('warn', 'quarantine', 'a server was lost with requests in flight', { server, suspects: accused.length })
@@ -199,13 +199,13 @@
   }
 
   private apply (event: QuarantineEvent): readonly string[] {
-    const { state, accused } = stepQuarantine(this.state, event, { now: this.clock.now(), keep: KEEP })
+    const { state, accused } = stepQuarantine(this.state, event, { now: this.clock.now(), keep: SUSPECT_TTL })
     this.state = state
     if (accused.length > 0) for (const listener of this.listeners) listener(accused)
     return accused
   }
 
-  private tell (message: PeerMessage): void {
+  private publish (message: PeerMessage): void {
     for (const name of listOthers(this.members.all(), this.settings.instance)) this.links.send(name, message)
   }
 }
--- a/src/routing/read-to-end.ts
+++ b/src/routing/read-to-end.ts
@@ -3,10 +3,10 @@
 import type { SendFailure } from './send-failure.js'
 
 /** The rest of an answer's body, waiting for each part of it as long as `getPatience` says, ms. */
-export async function readToEnd (exchange: Pick<Exchange, 'read'>, getPatience: () => number): Promise<Result<Buffer, SendFailure>> {
+export async function readToEnd (exchange: Pick<Exchange, 'read'>, getTimeout: () => number): Promise<Result<Buffer, SendFailure>> {
   const parts: Buffer[] = []
   for (;;) {
-    const bytes = await exchange.read(getPatience())
+    const bytes = await exchange.read(getTimeout())
     if (bytes.err) return bytes
     if (bytes.val === undefined) return Ok(Buffer.concat(parts))
     parts.push(bytes.val)
--- a/src/routing/sender.ts
+++ b/src/routing/sender.ts
@@ -7,7 +7,7 @@
 import type { BackendServer } from './backend-server.js'
 import { Exchange } from './exchange.js'
 import { exchangeObserverPoint } from './exchange-observer-point.js'
-import { isGone } from './is-gone.js'
+import { isServerGone } from './is-server-gone.js'
 import type { OpenExchange } from './open-exchange.js'
 import { Quarantine } from './quarantine.js'
 import type { SendFailure } from './send-failure.js'
@@ -16,7 +16,7 @@
 import { Servers } from './servers.js'
 
 /** Statuses by which a server says that it can't serve now; a 500 may be the request's own doing. */
-const UNWELL = [502, 503, 504]
+const UNAVAILABLE_STATUSES = [502, 503, 504]
 
 interface SendOptions {
   readonly body: Buffer | null
@@ -35,16 +35,16 @@
   constructor (
     @inject(Servers) private readonly servers: Servers,
     @inject(Quarantine) private readonly quarantine: Quarantine,
-    @inject(Extensions) private readonly added: Extensions,
+    @inject(Extensions) private readonly extensions: Extensions,
     @inject(Timeline) private readonly timeline: Timeline,
     @inject(ServerViews) views: ServerViews,
     @inject(tokens.clock) private readonly clock: Clock
   ) {
-    views.subscribe(({ server, state }) => { if (state === 'down') this.abandon(server) })
+    views.subscribe(({ server, state }) => { if (state === 'down') this.abandonRepeatable(server) })
   }
 
   /** Counts the exchange before the first wait, so that a choice made right before still holds. */
-  async send (server: BackendServer, request: ServerRequest, { body, fingerprint, headerTimeout: patience }: SendOptions): Promise<Result<OpenExchange, SendFailure>> {
+  async send (server: BackendServer, request: ServerRequest, { body, fingerprint, headerTimeout }: SendOptions): Promise<Result<OpenExchange, SendFailure>> {
     const exchange = new Exchange({
       clock: this.clock,
       agent: this.servers.agents[request.paced === true ? 'paced' : request.work],
@@ -58,7 +58,7 @@
     })
     const open = this.begin(server, request, exchange, fingerprint)
     this.timeline.record({ part: 'routing', what: 'sent', request: request.id, server: server.name })
-    const opened = await exchange.open(patience)
+    const opened = await exchange.open(headerTimeout)
     if (opened.ok) return Ok(open)
     await open.fail(opened.val)
     return Err(opened.val)
@@ -66,11 +66,11 @@
 
   /** Where nothing listens at the server, waits for what the other daemons had in flight there. */
   async waitForLossReports ({ name, url }: BackendServer): Promise<void> {
-    if (await isGone(url)) await this.quarantine.waitForLossReports(name)
+    if (await isServerGone(url)) await this.quarantine.waitForLossReports(name)
   }
 
   private begin (server: BackendServer, request: ServerRequest, exchange: Exchange, fingerprint: string): OpenExchange {
-    const observers = this.added.collect(exchangeObserverPoint)
+    const observers = this.extensions.collect(exchangeObserverPoint)
     // Batch streams give way to online requests, so they take no place of theirs.
     const release = request.work === 'online' ? this.servers.begin(server.name) : () => {}
     const forget = this.quarantine.begin(fingerprint, server.name, () => exchange.isSent())
@@ -82,7 +82,7 @@
       ended = true
       this.repeatable.delete(exchange)
       if (outcome === 'answered') this.quarantine.onServerAnswered(server.name)
-      if (outcome === 'answered') this.servers.observe(server.name, UNWELL.includes(exchange.status) ? 'failed' : 'answered')
+      if (outcome === 'answered') this.servers.observe(server.name, UNAVAILABLE_STATUSES.includes(exchange.status) ? 'failed' : 'answered')
       else exchange.abandon('abandoned')
       forget()
       release()
@@ -103,7 +103,7 @@
    * A server that stands still keeps its connections open and says nothing. Whoever waits for a whole answer there
    * would wait out half of its deadline; the server's owner knows sooner that it is down, by its health checks.
    */
-  private abandon (server: string): void {
+  private abandonRepeatable (server: string): void {
     for (const [exchange, name] of this.repeatable) if (name === server) exchange.abandon('silent')
   }
 
@@ -112,13 +112,13 @@
    * same time wait for the same probe, so that each is still counted as in flight when the server is judged.
    */
   private async probe (server: BackendServer): Promise<void> {
-    const running = this.probes.get(server.url) ?? this.judge(server).finally(() => this.probes.delete(server.url))
+    const running = this.probes.get(server.url) ?? this.confirmLoss(server).finally(() => this.probes.delete(server.url))
     this.probes.set(server.url, running)
     await running
   }
 
-  private async judge (server: BackendServer): Promise<void> {
-    if (!await isGone(server.url)) return
+  private async confirmLoss (server: BackendServer): Promise<void> {
+    if (!await isServerGone(server.url)) return
     this.servers.observe(server.name, 'unreachable')
     this.quarantine.onServerLost(server.name)
   }
--- a/src/routing/servers.ts
+++ b/src/routing/servers.ts
@@ -32,7 +32,7 @@
  */
 const READ_PERIOD = 200
 /** How long an owner's count of the other daemons' requests is gone by, ms. */
-const COUNT_HOLDS = 1_000
+const COUNT_TTL = 1_000
 
 const connectPaced = createPacedConnector({ timeout: CONNECT_TIMEOUT, period: READ_PERIOD })
 
@@ -152,8 +152,8 @@
 
   /** What the other daemons had in flight there by a view that isn't too old to go by. */
   private countOthers (server: string): number | undefined {
-    const told = this.others.get(server)
-    return told !== undefined && this.clock.now() - told.at <= COUNT_HOLDS ? told.count : undefined
+    const reported = this.others.get(server)
+    return reported !== undefined && this.clock.now() - reported.at <= COUNT_TTL ? reported.count : undefined
   }
 
   private readLimit (server: string): number {
--- a/src/routing/sse-reader.ts
+++ b/src/routing/sse-reader.ts
@@ -11,16 +11,16 @@
  * Source: HTML standard, section 9.2, "Server-sent events".
  */
 export class SseReader {
-  private held = ''
+  private buffered = ''
   private readonly decoder = new StringDecoder('utf8')
 
   push (bytes: Buffer): readonly SseEvent[] {
-    this.held += this.decoder.write(bytes)
+    this.buffered += this.decoder.write(bytes)
     const events: SseEvent[] = []
-    for (let end = END_OF_EVENT.exec(this.held); end !== null; end = END_OF_EVENT.exec(this.held)) {
+    for (let end = END_OF_EVENT.exec(this.buffered); end !== null; end = END_OF_EVENT.exec(this.buffered)) {
       const length = end.index + end[0].length
-      events.push({ raw: this.held.slice(0, length), data: readData(this.held.slice(0, end.index)) })
-      this.held = this.held.slice(length)
+      events.push({ raw: this.buffered.slice(0, length), data: readData(this.buffered.slice(0, end.index)) })
+      this.buffered = this.buffered.slice(length)
     }
     return events
   }
--- a/src/routing/sse-splitter.ts
+++ b/src/routing/sse-splitter.ts
@@ -4,7 +4,7 @@
 const DATA = /^data: ?(.*)$/gm
 
 /** One whole event of a stream, its bytes unchanged. */
-interface CutEvent {
+interface RawEvent {
   readonly bytes: Buffer
   /** Its id, where it has one that is a number. */
   readonly id: number | undefined
@@ -22,26 +22,26 @@
  * for (const event of cutter.push(bytes)) relay(event.bytes)
  */
 export class SseSplitter {
-  private held = ''
+  private buffered = ''
 
   /** Whether nothing of an unfinished event is held. */
   get isAtBoundary (): boolean {
-    return this.held === ''
+    return this.buffered === ''
   }
 
-  push (bytes: Buffer): readonly CutEvent[] {
-    this.held += bytes.toString('latin1')
-    const events: CutEvent[] = []
-    for (let end = BLANK_LINE.exec(this.held); end !== null; end = BLANK_LINE.exec(this.held)) {
+  push (bytes: Buffer): readonly RawEvent[] {
+    this.buffered += bytes.toString('latin1')
+    const events: RawEvent[] = []
+    for (let end = BLANK_LINE.exec(this.buffered); end !== null; end = BLANK_LINE.exec(this.buffered)) {
       const length = end.index + end[0].length
-      events.push(readEvent(this.held.slice(0, length)))
-      this.held = this.held.slice(length)
+      events.push(readEvent(this.buffered.slice(0, length)))
+      this.buffered = this.buffered.slice(length)
     }
     return events
   }
 }
 
-function readEvent (text: string): CutEvent {
+function readEvent (text: string): RawEvent {
   const lines = text.replace(/\r\n?/g, '\n')
   const id = ID.exec(lines)?.[1]
   const data = [...lines.matchAll(DATA)].map(([, line]) => line).join('\n')
--- a/src/routing/step-progress.ts
+++ b/src/routing/step-progress.ts
@@ -22,20 +22,20 @@
   const choice = chunk.choices?.[0]
   const text = choice?.text ?? choice?.delta?.content
   const repeated = progress.id !== undefined && choice !== undefined && (text === undefined || text === '') && choice.finish_reason == null && isPlain(choice)
-  const usage = chunk.usage == null ? undefined : addCarried(chunk.usage, progress.carried)
+  const usage = chunk.usage == null ? undefined : addCarried(chunk.usage, progress.earlierTokenCount)
   const token = typeof text === 'string' && text !== '' ? text : undefined
   const next: StreamProgress = {
-    given: progress.given + (token === undefined ? 0 : 1),
+    tokenCount: progress.tokenCount + (token === undefined ? 0 : 1),
     id: progress.id ?? chunk.id,
     finished: progress.finished || choice?.finish_reason != null,
     done: progress.done,
     resumable: progress.resumable && (chunk.choices?.every(({ index = 0 }) => index === 0) ?? true) && (choice === undefined || isPlain(choice)),
-    carried: progress.carried,
+    earlierTokenCount: progress.earlierTokenCount,
     usage: usage?.completion_tokens ?? progress.usage
   }
   if (repeated) return { progress: next }
   const renamed = progress.id !== undefined && chunk.id !== undefined && chunk.id !== progress.id
-  const changed = renamed || (usage !== undefined && progress.carried > 0)
+  const changed = renamed || (usage !== undefined && progress.earlierTokenCount > 0)
   return { progress: next, token, relay: changed ? `data: ${JSON.stringify({ ...chunk, id: next.id, ...(usage && { usage }) })}\n\n` : raw }
 }
 
--- a/src/routing/step-quarantine.ts
+++ b/src/routing/step-quarantine.ts
@@ -5,7 +5,7 @@
 import type { Suspect } from './suspect.js'
 
 /** Losses of one server nearer together than this (ms) are one: several daemons tell of the same end, some late. */
-const SAME_LOSS = 5_000
+const SAME_LOSS_WINDOW = 5_000
 /** By what the whole runs that clear a suspect grow with each loss that it was cleared of before. */
 const PASS_GROWTH = 4
 
@@ -43,15 +43,15 @@
 }
 
 function applyLoss (state: QuarantineState, { server, unsent, ago = 0 }: Extract<QuarantineEvent, { readonly type: 'lost' }>, options: StepOptions): Step {
-  const noted = recordLoss(state, server, options.now - ago)
-  const first = noted.lost.get(server)!
-  const there = [...noted.inFlight].filter(([exchange, other]) => other.server === server && other.began <= first && unsent?.has(exchange) !== true)
-  return accuse(noted, there.map(([, { fingerprint }]) => fingerprint), { server, at: first }, options)
+  const recorded = recordLoss(state, server, options.now - ago)
+  const firstAt = recorded.lost.get(server)!
+  const candidates = [...recorded.inFlight].filter(([exchange, other]) => other.server === server && other.began <= firstAt && unsent?.has(exchange) !== true)
+  return accuse(recorded, candidates.map(([, { fingerprint }]) => fingerprint), { server, at: firstAt }, options)
 }
 
 function recordLoss (state: QuarantineState, server: string, at: number): QuarantineState {
   const known = state.lost.get(server) ?? -Infinity
-  if (at - known < SAME_LOSS) return state
+  if (at - known < SAME_LOSS_WINDOW) return state
   return { ...state, lost: new Map(state.lost).set(server, at) }
 }
 
@@ -59,10 +59,10 @@
   const suspects = new Map([...state.suspects].filter(([, { until }]) => until > now))
   const accused: string[] = []
   for (const fingerprint of new Set(fingerprints)) {
-    const { losses = [], answered = [] } = suspects.get(fingerprint) ?? {}
-    if ([...losses, ...answered].some(other => other.server === loss.server && Math.abs(loss.at - other.at) < SAME_LOSS)) continue
+    const { losses = [], clearedLosses = [] } = suspects.get(fingerprint) ?? {}
+    if ([...losses, ...clearedLosses].some(other => other.server === loss.server && Math.abs(loss.at - other.at) < SAME_LOSS_WINDOW)) continue
     accused.push(fingerprint)
-    suspects.set(fingerprint, { losses: [...losses, loss], answered, passes: 0, until: now + keep })
+    suspects.set(fingerprint, { losses: [...losses, loss], clearedLosses, passes: 0, until: now + keep })
   }
   return { state: { ...state, suspects }, accused }
 }
@@ -71,8 +71,8 @@
   const suspect = state.suspects.get(fingerprint)
   if (suspect === undefined || suspect.losses.length === 0) return state
   const passes = suspect.passes + 1
-  const cleared = passes >= PASS_GROWTH ** (suspect.answered.length + suspect.losses.length - 1)
-  const next: Suspect = cleared ? { ...suspect, losses: [], answered: [...suspect.answered, ...suspect.losses], passes: 0 } : { ...suspect, passes }
+  const cleared = passes >= PASS_GROWTH ** (suspect.clearedLosses.length + suspect.losses.length - 1)
+  const next: Suspect = cleared ? { ...suspect, losses: [], clearedLosses: [...suspect.clearedLosses, ...suspect.losses], passes: 0 } : { ...suspect, passes }
   return { ...state, suspects: new Map(state.suspects).set(fingerprint, next) }
 }
 
--- a/src/routing/step-server-health.ts
+++ b/src/routing/step-server-health.ts
@@ -1,9 +1,9 @@
 import { failUnreachable } from '../kernel/unreachable.js'
 import type { ServerHealth } from './server-health.js'
 
-const FAILURES = 3
-const FIRST_EJECTION = 500
-const LONGEST_EJECTION = 30_000
+const MAX_FAILURES = 3
+const MIN_EJECTION = 500
+const MAX_EJECTION = 30_000
 
 type HealthEvent = 'answered' | 'failed' | 'unreachable'
 
@@ -18,12 +18,12 @@
     case 'unreachable': return now < ejectedUntil ? health : eject(failures + 1, ejections, now)
     case 'failed':
       if (now < ejectedUntil) return health
-      if (ejections > 0 || failures + 1 >= FAILURES) return eject(failures + 1, ejections, now)
+      if (ejections > 0 || failures + 1 >= MAX_FAILURES) return eject(failures + 1, ejections, now)
       return { failures: failures + 1, ejections, ejectedUntil }
     default: return failUnreachable(event)
   }
 }
 
 function eject (failures: number, ejections: number, now: number): ServerHealth {
-  return { failures, ejections: ejections + 1, ejectedUntil: now + Math.min(LONGEST_EJECTION, FIRST_EJECTION * 2 ** ejections) }
+  return { failures, ejections: ejections + 1, ejectedUntil: now + Math.min(MAX_EJECTION, MIN_EJECTION * 2 ** ejections) }
 }
--- a/src/routing/step-trials.ts
+++ b/src/routing/step-trials.ts
@@ -4,13 +4,13 @@
 import type { TrialsState } from './trials-state.js'
 
 /** How long an ask holds, ms; askers repeat theirs several times in that time. */
-const ASK_HOLDS = 1_500
+const ASK_TTL = 1_500
 /** How long an ask waits for daemons that aren't ready, ms, where membership doubts that they are there. */
-const DOUBTED_WAIT = 1_000
+const SUSPECTED_READY_TIMEOUT = 1_000
 /** How long it waits for the others: one that is busy for seconds may have a copy in flight, and not know of the suspect. */
-const READY_WAIT = 5_000
+const READY_TIMEOUT = 5_000
 /** How long it is kept which daemons are ready, ms. */
-const READY_KEPT = 600_000
+const READY_TTL = 600_000
 
 interface StepOptions {
   readonly now: number
@@ -19,7 +19,7 @@
   /** Those of them that membership doesn't doubt; all when absent. */
   readonly alive?: readonly string[]
   /** Fingerprints that became suspect a moment ago: all daemons must know of them before any trial. */
-  readonly settling?: readonly string[]
+  readonly recentSuspects?: readonly string[]
   /** Servers lost a moment ago, where no trial is given. */
   readonly lost?: readonly string[]
   /** Least time in ms from the first ask to the trial. */
@@ -49,20 +49,20 @@
       const { id, fingerprint, servers } = event
       const granted = running.get(id)
       if (granted !== undefined) {
-        running.set(id, { ...granted, until: now + ASK_HOLDS })
+        running.set(id, { ...granted, until: now + ASK_TTL })
         return { state: { running, waiting, ready }, grants: [{ id, server: granted.server }] }
       }
       const known = waiting.find(other => other.id === id)
-      const ask = { id, fingerprint, servers, since: known?.since ?? now, until: now + ASK_HOLDS }
+      const ask = { id, fingerprint, servers, since: known?.since ?? now, until: now + ASK_TTL }
       return grant({ running, waiting: known === undefined ? [...waiting, ask] : waiting.map(other => other.id === id ? ask : other), ready }, options)
     }
     case 'hold': {
       const { id, fingerprint, server } = event
-      return { state: { running: running.set(id, { fingerprint, server, until: now + ASK_HOLDS }), waiting, ready }, grants: [] }
+      return { state: { running: running.set(id, { fingerprint, server, until: now + ASK_TTL }), waiting, ready }, grants: [] }
     }
     case 'ready':
       for (const fingerprint of event.fingerprints) {
-        ready.set(fingerprint, { daemons: new Set([...ready.get(fingerprint)?.daemons ?? [], event.daemon]), until: now + READY_KEPT })
+        ready.set(fingerprint, { daemons: new Set([...ready.get(fingerprint)?.daemons ?? [], event.daemon]), until: now + READY_TTL })
       }
       return grant({ running, waiting, ready }, options)
     default: return failUnreachable(event)
@@ -79,14 +79,14 @@
     if (taken.some(other => other.fingerprint === fingerprint)) continue
     const server = rankOwners(fingerprint, servers).find(name => !lost.includes(name) && !taken.some(other => other.server === name))
     if (server === undefined) continue
-    running.set(id, { fingerprint, server, until: now + ASK_HOLDS })
+    running.set(id, { fingerprint, server, until: now + ASK_TTL })
     grants.push({ id, server })
   }
   return { state: { ...state, running, waiting: state.waiting.filter(({ id }) => !running.has(id)) }, grants }
 }
 
-function isReady ({ ready }: TrialsState, fingerprint: string, waited: number, { daemons, alive = daemons, settling = [] }: StepOptions): boolean {
-  if (waited >= READY_WAIT) return true
-  const needed = waited < DOUBTED_WAIT ? daemons : alive
-  return [fingerprint, ...settling].every(suspect => needed.every(daemon => ready.get(suspect)?.daemons.has(daemon)))
+function isReady ({ ready }: TrialsState, fingerprint: string, waited: number, { daemons, alive = daemons, recentSuspects = [] }: StepOptions): boolean {
+  if (waited >= READY_TIMEOUT) return true
+  const needed = waited < SUSPECTED_READY_TIMEOUT ? daemons : alive
+  return [fingerprint, ...recentSuspects].every(suspect => needed.every(daemon => ready.get(suspect)?.daemons.has(daemon)))
 }
--- a/src/routing/suspect.ts
+++ b/src/routing/suspect.ts
@@ -5,7 +5,7 @@
   /** Losses of servers that had the request in flight, each once, and that no later whole run has answered for. */
   readonly losses: readonly ServerLoss[]
   /** Losses that whole runs have answered for. */
-  readonly answered: readonly ServerLoss[]
+  readonly clearedLosses: readonly ServerLoss[]
   /** Whole runs since the last loss. */
   readonly passes: number
   /** Monotonic ms at which this is forgotten. */
--- a/src/routing/time-estimate.ts
+++ b/src/routing/time-estimate.ts
@@ -24,7 +24,7 @@
   }
 
   /** How long to wait before taking it for lost, in ms between the two bounds; the higher one while nothing is known. */
-  getPatience (lowest: number, highest: number): number {
+  getTimeout (lowest: number, highest: number): number {
     if (this.mean === undefined) return highest
     return Math.min(highest, Math.max(lowest, this.mean + DEVIATIONS * this.deviation))
   }
--- a/src/routing/trials.ts
+++ b/src/routing/trials.ts
@@ -33,16 +33,16 @@
 @scoped(Lifecycle.ContainerScoped)
 export class Trials implements Part {
   readonly extensions = [
-    peerHandlerPoint.of({ type: 'trial-ask', handle: ({ id, fingerprint, servers }, from) => { this.hearAsk({ id: String(id), fingerprint: String(fingerprint), servers: (servers as unknown[]).map(String) }, from) } }),
+    peerHandlerPoint.of({ type: 'trial-ask', handle: ({ id, fingerprint, servers }, from) => { this.receiveAsk({ id: String(id), fingerprint: String(fingerprint), servers: (servers as unknown[]).map(String) }, from) } }),
     peerHandlerPoint.of({ type: 'trial-hold', handle: ({ id, fingerprint, server }) => { this.apply({ type: 'hold', id: String(id), fingerprint: String(fingerprint), server: String(server) }) } }),
     peerHandlerPoint.of({ type: 'trial-ready', handle: ({ fingerprints }, from) => { this.apply({ type: 'ready', daemon: from, fingerprints: (fingerprints as unknown[]).map(String) }) } }),
-    peerHandlerPoint.of({ type: 'trial-done', handle: message => this.hearDone(message) }),
+    peerHandlerPoint.of({ type: 'trial-done', handle: message => this.receiveDone(message) }),
     peerHandlerPoint.of({ type: 'trial', handle: ({ id, server }) => { this.asks.get(String(id))?.(server === undefined ? 'quarantined' : String(server)) } })
   ]
 
   private state: TrialsState = { running: new Map(), waiting: [], ready: new Map() }
   private cancels: ReadonlyArray<() => void> = []
-  private held: ReadonlySet<string> = new Set()
+  private reportedHolds: ReadonlySet<string> = new Set()
   private readonly granted = new Map<string, { readonly fingerprint: string, readonly server: string }>()
   private readonly asks = new Map<string, (answer: string) => void>()
   private count = 0
@@ -57,14 +57,14 @@
     // A moment later, when the exchanges that the lost server cut have ended.
     quarantine.subscribe(fingerprints => {
       clock.after(1, () => {
-        this.tellHolds()
-        this.tellReady(fingerprints)
+        this.reportHolds()
+        this.reportReady(fingerprints)
       })
     })
   }
 
   async start (): Promise<void> {
-    this.cancels = [this.clock.every(ASK_PERIOD, () => this.tellHolds()), this.clock.every(READY_PERIOD, () => this.remind())]
+    this.cancels = [this.clock.every(ASK_PERIOD, () => this.reportHolds()), this.clock.every(READY_PERIOD, () => this.resendRecentLosses())]
   }
 
   async stop (): Promise<void> {
@@ -79,16 +79,16 @@
       const end = (): void => {
         cancel()
         this.granted.delete(id)
-        if (this.asks.delete(id)) this.send({ type: 'trial-done', id, ...this.quarantine.listSettling().suspects.find(other => other.fingerprint === fingerprint) })
+        if (this.asks.delete(id)) this.send({ type: 'trial-done', id, ...this.quarantine.listRecentLosses().suspects.find(other => other.fingerprint === fingerprint) })
       }
       const finish = (outcome: Outcome): void => {
         if (typeof outcome === 'string') end()
         resolve(outcome)
       }
       const check = (): void => {
-        const standing = this.quarantine.check(fingerprint)
-        if (standing === 'quarantined') finish('quarantined')
-        else if (standing === 'clear') finish('cleared')
+        const status = this.quarantine.check(fingerprint)
+        if (status === 'quarantined') finish('quarantined')
+        else if (status === 'clear') finish('cleared')
         else if (this.clock.now() >= deadline || signal?.aborted === true) finish('deadline')
         else this.send({ type: 'trial-ask', id, fingerprint, servers: listServers() })
       }
@@ -107,15 +107,15 @@
    * Copies of a suspect may be in flight through several daemons when the first of them ends its server. Were they
    * not known, another suspect could be tried beside one, and be blamed for what the copy does.
    */
-  private tellHolds (): void {
+  private reportHolds (): void {
     const holds = this.quarantine.listSuspectExchanges().map(hold => ({ ...hold, id: this.nameHold(hold) }))
     const held = new Set(holds.map(({ id }) => id))
     for (const { id, fingerprint, server } of holds) this.send({ type: 'trial-hold', id, fingerprint, server })
-    for (const id of this.held) if (!held.has(id)) this.send({ type: 'trial-done', id })
-    this.held = held
+    for (const id of this.reportedHolds) if (!held.has(id)) this.send({ type: 'trial-done', id })
+    this.reportedHolds = held
   }
 
-  private tellReady (fingerprints: readonly string[]): void {
+  private reportReady (fingerprints: readonly string[]): void {
     if (fingerprints.length > 0) this.send({ type: 'trial-ready', fingerprints })
   }
 
@@ -128,37 +128,37 @@
    * Repeats what is new: to the daemon that gives trials out, and from there to those that haven't said that they know
    * it. A frame may be lost, and a daemon that never heard of a suspect sends the next copy of it to a third server.
    */
-  private remind (): void {
-    const { suspects } = this.quarantine.listSettling()
-    this.tellReady(suspects.map(({ fingerprint }) => fingerprint))
-    const lead = this.findLead()
-    if (lead !== this.settings.instance) return this.quarantine.remind(lead)
+  private resendRecentLosses (): void {
+    const { suspects } = this.quarantine.listRecentLosses()
+    this.reportReady(suspects.map(({ fingerprint }) => fingerprint))
+    const coordinator = this.findCoordinator()
+    if (coordinator !== this.settings.instance) return this.quarantine.resendAccusations(coordinator)
     for (const { instance } of this.members.all()) {
-      this.quarantine.remind(instance.name, fingerprint => this.state.ready.get(fingerprint)?.daemons.has(instance.name) === true)
+      this.quarantine.resendAccusations(instance.name, fingerprint => this.state.ready.get(fingerprint)?.daemons.has(instance.name) === true)
     }
   }
 
-  private findLead (): string {
+  private findCoordinator (): string {
     return rankOwners('trials', this.members.owners())[0] ?? this.settings.instance
   }
 
   private send (message: PeerMessage): void {
-    const lead = this.findLead()
-    if (lead !== this.settings.instance) this.links.send(lead, message)
-    else if (message.type === 'trial-done') this.hearDone(message)
-    else if (message.type === 'trial-ready') this.apply({ type: 'ready', daemon: lead, fingerprints: message.fingerprints as readonly string[] })
+    const coordinator = this.findCoordinator()
+    if (coordinator !== this.settings.instance) this.links.send(coordinator, message)
+    else if (message.type === 'trial-done') this.receiveDone(message)
+    else if (message.type === 'trial-ready') this.apply({ type: 'ready', daemon: coordinator, fingerprints: message.fingerprints as readonly string[] })
     else if (message.type === 'trial-hold') this.apply({ type: 'hold', id: String(message.id), fingerprint: String(message.fingerprint), server: String(message.server) })
-    else this.hearAsk(message as unknown as { id: string, fingerprint: string, servers: readonly string[] }, lead)
+    else this.receiveAsk(message as unknown as { id: string, fingerprint: string, servers: readonly string[] }, coordinator)
   }
 
   /** An asker's accusations come over the same link before its next message, so that none is granted past them. */
-  private hearAsk ({ id, fingerprint, servers }: { readonly id: string, readonly fingerprint: string, readonly servers: readonly string[] }, from: string): void {
+  private receiveAsk ({ id, fingerprint, servers }: { readonly id: string, readonly fingerprint: string, readonly servers: readonly string[] }, from: string): void {
     if (this.quarantine.check(fingerprint) === 'quarantined') this.answer(from, id, undefined)
     else this.apply({ type: 'ask', id, fingerprint, servers })
   }
 
   /** A trial that ended its server says so itself, so that no copy is tried where the word of the loss was lost. */
-  private hearDone ({ id, fingerprint, server, ago }: PeerMessage): void {
+  private receiveDone ({ id, fingerprint, server, ago }: PeerMessage): void {
     if (server !== undefined) this.quarantine.accuse([String(fingerprint)], String(server), Number(ago))
     this.apply({ type: 'done', id: String(id) })
   }
--- a/src/routing/whole-answer.ts
+++ b/src/routing/whole-answer.ts
@@ -4,7 +4,7 @@
 import type { SendFailure } from './send-failure.js'
 
 /** Bytes of an answer that are held until it is whole. */
-const HELD_BYTES = 4_000_000
+const MAX_BUFFERED_BYTES = 4_000_000
 
 interface WholeAnswer {
   readonly body: Readable
@@ -17,11 +17,11 @@
  * refused with a status of its own. A stream, or a longer answer than is held, is passed on as it comes; if it is cut
  * then, its body fails. `getPatience` gives the longest silence in the middle of a body, ms.
  */
-export async function readWholeAnswer (open: OpenExchange, getPatience: () => number): Promise<Result<WholeAnswer, SendFailure>> {
+export async function readWholeAnswer (open: OpenExchange, getTimeout: () => number): Promise<Result<WholeAnswer, SendFailure>> {
   const parts: Buffer[] = []
   let size = 0
-  while (size <= HELD_BYTES && !open.exchange.isStream()) {
-    const bytes = await open.exchange.read(getPatience())
+  while (size <= MAX_BUFFERED_BYTES && !open.exchange.isStream()) {
+    const bytes = await open.exchange.read(getTimeout())
     if (bytes.err) return bytes
     if (bytes.val === undefined) {
       const body = Buffer.concat(parts)
@@ -31,7 +31,7 @@
     parts.push(bytes.val)
     size += bytes.val.length
   }
-  return Ok({ body: Readable.from(readRest(open, parts, getPatience), { objectMode: false }), tokens: 0 })
+  return Ok({ body: Readable.from(readRest(open, parts, getTimeout), { objectMode: false }), tokens: 0 })
 }
 
 /**
@@ -53,10 +53,10 @@
   }
 }
 
-async function * readRest (open: OpenExchange, parts: readonly Buffer[], getPatience: () => number): AsyncGenerator<Buffer> {
+async function * readRest (open: OpenExchange, parts: readonly Buffer[], getTimeout: () => number): AsyncGenerator<Buffer> {
   yield * parts
   for (;;) {
-    const bytes = await open.exchange.read(getPatience())
+    const bytes = await open.exchange.read(getTimeout())
     if (bytes.err) {
       await open.fail(bytes.val)
       throw new Error(bytes.val.detail)
--- a/test/routing/event-stream.test.ts
+++ b/test/routing/event-stream.test.ts
@@ -9,10 +9,10 @@
 test('however a stream is split, its events come out whole and unchanged, and a broken one not at all', t => {
   fc.assert(fc.property(fc.array(fc.integer({ min: 1, max: stream.length })), cuts => {
     const places = [0, ...[...new Set(cuts)].sort((a, b) => a - b), stream.length]
-    const cutter = new SseSplitter()
-    const events = places.slice(1).flatMap((end, i) => cutter.push(stream.subarray(places[i], end)))
+    const splitter = new SseSplitter()
+    const events = places.slice(1).flatMap((end, i) => splitter.push(stream.subarray(places[i], end)))
     return Buffer.concat(events.map(({ bytes }) => bytes)).equals(stream.subarray(0, stream.indexOf('id: 4'))) &&
-      events.map(({ id }) => id).join() === '1,2,3,' && events[1]!.data === 'b\nc' && !cutter.isAtBoundary
+      events.map(({ id }) => id).join() === '1,2,3,' && events[1]!.data === 'b\nc' && !splitter.isAtBoundary
   }))
   t.pass()
 })
--- a/test/routing/is-gone.test.ts
+++ b/test/routing/is-server-gone.test.ts
@@ -1,7 +1,7 @@
 import { createServer as createHttpServer } from 'node:http'
 import { createServer, type AddressInfo, type Server } from 'node:net'
 import test from 'ava'
-import { isGone } from '../../src/routing/is-gone.js'
+import { isServerGone } from '../../src/routing/is-server-gone.js'
 import { StrictServer } from '../helpers/strict-server.js'
 
 async function listen (server: Server): Promise<string> {
@@ -16,26 +16,26 @@
     server.close()
     socket.resetAndDestroy()
   })
-  t.true(await isGone(await listen(server)))
+  t.true(await isServerGone(await listen(server)))
 })
 
 test('a server that answers, with whatever, is there', async t => {
   const server = createServer(socket => socket.end('HTTP/1.0 400 Bad Request\r\n\r\n'))
-  t.false(await isGone(await listen(server)))
+  t.false(await isServerGone(await listen(server)))
   server.close()
 })
 
 test('a server that says nothing is there', async t => {
   const server = createServer(() => {})
   t.teardown(() => server.close())
-  t.false(await isGone(await listen(server)))
+  t.false(await isServerGone(await listen(server)))
 })
 
 // A server that is sound refused the probe as malformed, and its log blamed a caller.
 test('a server is asked by a request that it can read and that names none of its resources', async t => {
   const server = await StrictServer.start(({ socket }) => { socket.end('HTTP/1.1 404 Not Found\r\ncontent-length: 0\r\n\r\n') })
   t.teardown(async () => await server.close())
-  t.false(await isGone(`http://127.0.0.1:${server.port}`))
+  t.false(await isServerGone(`http://127.0.0.1:${server.port}`))
   t.deepEqual(server.violations, [])
   t.deepEqual(server.requests.map(({ line }) => line), ['OPTIONS * HTTP/1.1'])
   t.is(server.requests[0]!.headers.get('host'), `127.0.0.1:${server.port}`)
@@ -49,6 +49,6 @@
     res.end()
   })
   t.teardown(() => server.close())
-  t.false(await isGone(await listen(server)))
+  t.false(await isServerGone(await listen(server)))
   t.deepEqual(calls, [])
 })
--- a/test/routing/retry-storm.test.ts
+++ b/test/routing/retry-storm.test.ts
@@ -14,7 +14,7 @@
 const TOKENS = 8
 const KILL_AFTER = 150
 /** Far more than any caller needs: who asks that often is refused for good. */
-const MOST_ASKS = 2_000
+const MAX_ATTEMPTS = 2_000
 
 interface Ask { readonly id: string, readonly status: number, readonly ran?: string, readonly retryAfter?: string }
 
@@ -45,7 +45,7 @@
       const id = `${n}.${round}.${attempt}`
       const body = { model: 'berth-assistant', max_tokens: TOKENS, messages: [{ role: 'user', content: prompt }] }
       const { status, text, headers } = await clients[(n + attempt) % DAEMONS]!.call('POST', '/v1/chat/completions', body, { 'x-request-id': id })
-      if (attempt >= MOST_ASKS) throw new Error(`${id} is never answered: ${status} ${text}`)
+      if (attempt >= MAX_ATTEMPTS) throw new Error(`${id} is never answered: ${status} ${text}`)
       asks.push({ id, status, ran: status === 200 ? undefined : JSON.parse(text).ran, retryAfter: headers['retry-after'] as string | undefined })
       if (status === 200) return t.is(JSON.parse(text).choices[0].message.content, answerWords(prompt, TOKENS).join(' '))
     }
--- a/test/routing/step-progress.test.ts
+++ b/test/routing/step-progress.test.ts
@@ -4,7 +4,7 @@
 import { stepProgress } from '../../src/routing/step-progress.js'
 import type { StreamProgress } from '../../src/routing/stream-progress.js'
 
-const EMPTY: StreamProgress = { given: 0, carried: 0, finished: false, done: false, resumable: true }
+const EMPTY: StreamProgress = { tokenCount: 0, earlierTokenCount: 0, finished: false, done: false, resumable: true }
 
 function showChunk (id: string, delta: object, finish: string | null = null): string {
   return `data: ${JSON.stringify({ id, choices: [{ index: 0, delta, finish_reason: finish }] })}\n\n`
@@ -44,7 +44,7 @@
     let relayed = ''
     for (const [n, share] of [...cuts, 1].entries()) {
       if (progress.done || progress.finished) break
-      const bytes = Buffer.from(showAnswer(`id-${n}`, words, progress.given))
+      const bytes = Buffer.from(showAnswer(`id-${n}`, words, progress.tokenCount))
       for (const event of new SseReader().push(bytes.subarray(0, Math.floor(share * bytes.length)))) {
         const step = stepProgress(progress, event)
         progress = step.progress
--- a/test/routing/step-quarantine.test.ts
+++ b/test/routing/step-quarantine.test.ts
@@ -28,10 +28,10 @@
 })
 
 test('one loss told by several daemons counts once, a later loss of the restarted server again', t => {
-  const told: QuarantineEvent = { type: 'accused', fingerprints: ['poison'], server: 'a' }
-  const once = run([told, told, told])
+  const accusation: QuarantineEvent = { type: 'accused', fingerprints: ['poison'], server: 'a' }
+  const once = run([accusation, accusation, accusation])
   t.is(countLosses(once, 'poison'), 1)
-  t.is(countLosses(stepQuarantine(once, told, { now: 6_000, keep: KEEP }).state, 'poison'), 2)
+  t.is(countLosses(stepQuarantine(once, accusation, { now: 6_000, keep: KEEP }).state, 'poison'), 2)
 })
 
 test('daemons that hear of the same losses in any order hold the same against each fingerprint', t => {
--- a/test/routing/step-trials.test.ts
+++ b/test/routing/step-trials.test.ts
@@ -94,7 +94,7 @@
 // A daemon knows of the bystander, which asks, and not yet of the crashing request that was in flight beside it. Were the
 // bystander tried now, that daemon could send a copy of the other one to the same server.
 test('no trial is given before every daemon knows of all that is newly suspect', t => {
-  const options = { daemons: ['a'], settling: ['f', 'g'], now: 0 }
+  const options = { daemons: ['a'], recentSuspects: ['f', 'g'], now: 0 }
   const asked = step(EMPTY, { type: 'ask', id: '1', fingerprint: 'f', servers: SERVERS }, options)
   const half = step(asked.state, { type: 'ready', daemon: 'a', fingerprints: ['f'] }, options)
   t.deepEqual(half.grants, [])
