--- a/src/routing/answer-sink.ts
+++ b/src/routing/answer-sink.ts
@@ -2,15 +2,15 @@
 
 type Headers = Readonly<Record<string, string | string[] | undefined>>
 
-/** Where the answer to one routed request goes. Exactly one of `answer`, `refuse` and `begin` is called. */
+/** Receives the answer to one routed request. Exactly one of `answer`, `refuse` and `begin` is called. */
 export interface AnswerSink {
-  /** A whole answer of a server. */
+  /** Sends a complete answer of a server. */
   answer (status: number, headers: Headers, body: Buffer): void
-  /** The system's own final answer. */
+  /** Sends a refusal of our own as the final answer. */
   refuse (refusal: Refusal): void
-  /** Begins a stream, which ends by `end`, or by `cut` where it isn't whole. */
+  /** Begins a stream, which is closed by `end`, or by `abort` if it is incomplete. */
   begin (status: number, headers: Headers): void
-  /** Resolves when the caller has room for more. */
+  /** Writes part of a stream; resolves when the caller's connection accepts more. */
   write (bytes: Buffer): Promise<void>
   end (): void
   abort (): void
--- a/src/routing/backend-server.ts
+++ b/src/routing/backend-server.ts
@@ -1,16 +1,16 @@
-/** A backend server as routing sees it. */
+/** A backend server and its load, as this daemon knows them. */
 export interface BackendServer {
   readonly name: string
   readonly pool: string
   readonly failureDomain: string
-  /** Base address. */
+  /** Base URL. */
   readonly url: string
-  /** Leaving or down, by the platform's list or by its owner: it gets nothing new. */
+  /** Whether the instance list or the server's owner reports it as leaving or down; it then gets no new requests. */
   readonly leaving: boolean
-  /** Requests of this daemon in flight there. */
+  /** Requests from this daemon in flight at the server. */
   readonly inFlight: number
-  /** Requests in flight there as far as known: ours, and what its owner last counted of the other daemons'. */
+  /** Requests in flight at the server: ours, plus the other daemons' as last counted by its owner. */
   readonly load: number
-  /** Requests of this daemon that may be in flight there; 0 while it is ejected. */
+  /** Most requests that this daemon may have in flight there; 0 while the server is ejected. */
   readonly limit: number
 }
--- a/src/routing/choose-server.ts
+++ b/src/routing/choose-server.ts
@@ -2,29 +2,29 @@
 import type { Random } from '../kernel/random.js'
 import type { BackendServer } from './backend-server.js'
 
-/** How far above the mean load the server of a prefix may be and still be taken. */
+/** Ratio to the mean load up to which a server still takes the requests of its keys. */
 const LOAD_BOUND = 1.25
-/** Requests above that bound which make no difference to an engine that runs many at once. */
+/** Requests allowed above that bound, so that it doesn't bind while loads are low. */
 const LOAD_SLACK = 4
-/** Servers that may hold a key. */
+/** Servers among which the requests of one key are kept. */
 const AFFINITY_SERVERS = 2
 
 interface ChooseOptions {
   readonly random: Random
-  /** Requests in flight above which no server is chosen. */
+  /** Requests in flight at which a server is full, whatever its own limit. */
   readonly limit: number
-  /** Servers that are out of the question. */
+  /** Names of servers that must not be chosen. */
   readonly excluded?: readonly string[]
-  /** Failure domains to leave alone while another one is open. */
+  /** Failure domains to avoid while a server elsewhere is available. */
   readonly avoided?: readonly string[]
-  /** Requests with the same key go to the same server while its load allows. */
+  /** Affinity key: requests with the same key go to the same server while its load allows. */
   readonly key?: string
 }
 
 /**
- * Picks a server that isn't leaving, isn't excluded and is below its limits. The server that rendezvous hashing
- * gives for `key` is taken while its load is within a bound of the mean, because it holds the prefix in its cache;
- * otherwise the less busy of two drawn at random, which keeps the longest queue short at a constant cost.
+ * Returns a server that isn't leaving, isn't excluded and is below its limits; undefined if there is none. Prefers the
+ * server that rendezvous hashing gives for `key`, which probably has the prompt's prefix in its cache, while its load is
+ * within a bound of the mean. Otherwise takes the less loaded of two random servers.
  *
  * Source: Mirrokni et al., "Consistent hashing with bounded loads", 2016; Mitzenmacher, "The power of two choices in
  * randomized load balancing", 2001.
@@ -46,9 +46,9 @@
 }
 
 /**
- * The first of the two servers ranked for the key that isn't too busy. The ranks are among all that stay, so that
- * one at its limit doesn't move the others' keys; a second rank, and slack while all have room, keep copies of one
- * request together though the daemons that choose know of different loads.
+ * Returns the first of the two servers ranked for the key that is open and within the load bound. Ranks all servers that
+ * aren't leaving, so that a full one doesn't move the keys of others. The second rank and the slack keep copies of one
+ * request together although daemons see different loads.
  */
 function findAffinityServer (servers: readonly BackendServer[], open: readonly BackendServer[], key: string): BackendServer | undefined {
   const remaining = servers.filter(({ leaving }) => !leaving)
--- a/src/routing/create-paced-connector.ts
+++ b/src/routing/create-paced-connector.ts
@@ -3,13 +3,13 @@
 
 /** Times in ms. */
 interface PacedConnectorOptions {
-  /** How long a new connection may take. */
+  /** Longest time to establish a connection. */
   readonly timeout: number
-  /** Least time between two reads of a connection. */
+  /** Shortest time between two reads of a connection. */
   readonly period: number
 }
 
-/** Opens connections that read at most once in `period` ms, for an agent whose answers nobody waits for part by part. */
+/** Creates an undici connector whose connections read at most once per `period`, for answers that nobody reads live. */
 export function createPacedConnector ({ timeout, period }: PacedConnectorOptions): buildConnector.connector {
   return ({ hostname, port }, callback) => {
     const socket = new PacedSocket(period)
--- a/src/routing/delivery.ts
+++ b/src/routing/delivery.ts
@@ -16,10 +16,11 @@
 import type { Trial } from './trial.js'
 import type { Trials } from './trials.js'
 
+/** Mean of the retry delay suggested to a refused caller, ms. */
 const RETRY_AFTER = 1_000
 const QUARANTINED_DETAIL = 'the servers that ran this request ended; it is kept out for a while'
 
-/** What every delivery of one daemon shares. */
+/** The parts that all deliveries of one daemon use. */
 interface DeliveryTools {
   readonly servers: Servers
   readonly sender: Sender
@@ -31,15 +32,15 @@
 }
 
 interface DeliveryOptions {
-  /** What the servers' prefix caches are keyed by. */
+  /** Affinity key of the servers' prefix caches; the request's fingerprint when absent. */
   readonly key?: string
-  /** Longest wait for the head of an answer of a request that may be sent again and has `left` ms. */
+  /** Returns the timeout in ms of a request that may be sent again and has `left` ms until its deadline. */
   readonly getTimeout: (left: number) => number
-  /** Longest wait of a retry for a place, ms. */
+  /** Longest wait of a retry for a server with capacity, ms. */
   readonly retryWait: number
 }
 
-/** All the sends of one request: where to, after which failures again, and what to say when it is given up. */
+/** Sends one request until a server answers: chooses the servers, decides on retries, and builds the refusal if it fails. */
 export class Delivery {
   private readonly fingerprint: string
   private readonly tried: BackendServer[] = []
@@ -50,7 +51,7 @@
     this.fingerprint = hashRequest(request)
   }
 
-  /** Sends until an answer begins. Takes its place at a server before the first wait. */
+  /** Sends until an answer begins. If a server has capacity, counts the request there before the first await. */
   async open (body: Buffer | null): Promise<Result<OpenExchange, Refusal>> {
     for (;;) {
       const available = this.tryChoose()
@@ -68,7 +69,7 @@
     }
   }
 
-  /** What follows a failure: a refusal, or undefined where the request may be sent again. */
+  /** Returns the refusal that follows a failure, or undefined if the request may be sent again. */
   plan (failure: SendFailure): Refusal | undefined {
     const { clock, budget } = this.tools
     this.sent ||= failure.sent
@@ -82,7 +83,7 @@
     return plan.type === 'send' ? undefined : this.refuse(plan.cause, plan.detail)
   }
 
-  /** Ends it: a whole answer earns its share of a retry and clears a suspect. */
+  /** Ends the delivery. A complete answer adds to the retry budget and counts as a pass if the request is suspect. */
   end (whole: boolean): void {
     if (whole) {
       this.tools.budget.record()
@@ -96,7 +97,7 @@
     return { cause, ran: this.sent ? 'unknown' : 'not run', retryAfter: this.tools.random.spread(RETRY_AFTER), detail }
   }
 
-  /** A server now, a refusal that no wait would change, or undefined. */
+  /** Returns a server with capacity, a refusal that waiting can't avert, or undefined if the request has to wait. */
   private tryChoose (): BackendServer | Refusal | undefined {
     const status = this.tools.quarantine.check(this.fingerprint)
     if (status === 'quarantined') return this.refuse('quarantined', QUARANTINED_DETAIL)
@@ -112,7 +113,7 @@
     return this.tools.servers.inPool(this.request.pool).filter(({ leaving, limit }) => !leaving && limit > 0)
   }
 
-  /** A server that failed this request before gets it again only where no other one is left. */
+  /** Chooses a server that hasn't failed this request; one that has only if no other is open. */
   private choose (open: readonly BackendServer[]): BackendServer | undefined {
     const { quarantine, random } = this.tools
     const tried = this.tried.map(({ name }) => name)
@@ -140,7 +141,7 @@
     }
   }
 
-  /** Undefined where the request was cleared while it waited. */
+  /** Waits for a trial and returns its server; undefined if the request was cleared meanwhile. */
   private async waitForTrial (): Promise<BackendServer | Refusal | undefined> {
     const open = this.listOpen()
     if (open.length === 0) return this.refuse('no server', 'no server of the pool is open')
@@ -155,7 +156,7 @@
     }
   }
 
-  /** How long to wait for a server that says nothing, ms. */
+  /** Longest wait for the next bytes of an answer, ms. */
   getTimeout (): number {
     const left = Math.max(1, this.request.deadline - this.tools.clock.now())
     return this.request.idempotent ? Math.min(left, this.options.getTimeout(left)) : left
--- a/src/routing/dispatcher.ts
+++ b/src/routing/dispatcher.ts
@@ -23,10 +23,10 @@
 import { Trials } from './trials.js'
 import { readWholeAnswer } from './whole-answer.js'
 
-/** What each pool's requests share: the budget of their retries and what is known of their times. */
+/** What the requests of one pool share: their retry budget and observed answer times. */
 interface PoolState { readonly budget: RetryBudget, readonly times: ModelTimes }
 
-/** Sends requests to backend servers: chooses one, and tries another where that is safe. */
+/** Sends requests to the backend servers of a pool, and to another server after a failure if that is safe. */
 @scoped(Lifecycle.ContainerScoped)
 export class Dispatcher {
   private readonly pools = new Map<string, PoolState>()
@@ -41,19 +41,19 @@
     @inject(tokens.random) private readonly random: Random
   ) {}
 
-  /** Whether a server has a place for the request now. */
+  /** Whether a server of the pool has capacity for the request now. */
   hasCapacity ({ pool, limit }: ServerRequest): boolean {
     return chooseServer(this.servers.inPool(pool), { random: this.random, limit }) !== undefined
   }
 
-  /** Whether any server of the pool would take requests once it has a place. */
+  /** Whether any server of the pool accepts requests, though it may be at its limit. */
   isOpen (pool: string): boolean {
     return this.servers.inPool(pool).some(({ leaving, limit }) => !leaving && limit > 0)
   }
 
   /**
-   * Resolves when the answer is whole or, for a stream or a long one, has begun. The body is the caller's to read
-   * and end. A refusal as overloaded and not run means that there was no place, at once.
+   * Resolves when the answer is complete or, for a stream or a long one, has begun. The caller has to read the body and
+   * call `end`. Resolves with a refusal as `overloaded` and `not run` without waiting if no server has capacity.
    */
   async send (request: ServerRequest): Promise<Result<ServerAnswer, Refusal>> {
     const { budget, times } = this.readPool(request.pool)
--- a/src/routing/exchange-observer.ts
+++ b/src/routing/exchange-observer.ts
@@ -1,6 +1,6 @@
 import type { ServerRequest } from './server-request.js'
 
-/** Hears of each request sent to a backend server, as it begins and as it ends. */
+/** Is notified when a request to a backend server begins and ends. */
 export interface ExchangeObserver {
   onBegin (request: ServerRequest, server: string): void
   onEnd (request: ServerRequest, server: string, outcome: 'answered' | 'failed' | 'abandoned'): void
--- a/src/routing/exchange.ts
+++ b/src/routing/exchange.ts
@@ -7,19 +7,19 @@
   readonly clock: Clock
   readonly agent: Dispatcher
   readonly origin: string
-  /** With its query, sent as it is: what a URL makes of it may be another resource. */
+  /** Path and query, sent unchanged: URL normalization could turn it into another resource. */
   readonly path: string
   readonly method: string
   readonly headers: Readonly<Record<string, string>>
   readonly body: Buffer | null
   readonly signal?: AbortSignal
+  /** Checked right before the first byte is written; the request isn't sent if it returns false. */
   readonly mayStart?: () => boolean
 }
 
 /**
- * One exchange with a backend server. Whoever abandons it, at whatever point, takes its connection with it: a
- * connection whose answer is still under way never goes back to the pool, so that a late answer can't reach another
- * request.
+ * One request to a backend server and its answer. Abandoning it closes its connection: a connection with an unfinished
+ * answer never returns to the pool, so that a late answer can't be read as the answer to another request.
  */
 export class Exchange {
   status = 0
@@ -37,7 +37,7 @@
     else signal.addEventListener('abort', onAbort, { once: true, signal: this.abort.signal })
   }
 
-  /** Sends the request and waits up to `patience` ms for the head of the answer. */
+  /** Sends the request and waits up to `timeout` ms for the answer's status and headers. */
   async open (timeout: number): Promise<Result<void, SendFailure>> {
     const { agent, origin, path, method, headers, body } = this.options
     return await this.withTimeout(timeout, async () => {
@@ -50,7 +50,7 @@
     })
   }
 
-  /** The next bytes of the body, waiting up to `patience` ms for them; undefined at its end. */
+  /** Returns the next bytes of the body, undefined at its end; fails as `silent` if none arrive within `timeout` ms. */
   async read (timeout: number): Promise<Result<Buffer | undefined, SendFailure>> {
     return await this.withTimeout(timeout, async () => {
       const next = await this.body!.next()
@@ -63,12 +63,12 @@
     return this.status < 300 && String(this.headers['content-type']).startsWith('text/event-stream')
   }
 
-  /** Whether a byte of the request can have left. */
+  /** Whether any byte of the request may have been sent. */
   isSent (): boolean {
     return this.sendState.sent
   }
 
-  /** Gives the exchange up. To do so after its end changes nothing. */
+  /** Aborts the exchange and closes its connection. Has no effect after its end. */
   abandon (why: 'silent' | 'abandoned'): void {
     this.why = why
     this.abort.abort()
--- a/src/routing/format-stream-error.ts
+++ b/src/routing/format-stream-error.ts
@@ -1,6 +1,6 @@
 import type { Refusal } from '../admission/refusal.js'
 
-/** The event that ends a stream which could not be made whole: a problem document with the `error` of the OpenAI shapes. */
+/** Formats the event that ends an incomplete stream: a problem document with an `error` as in the OpenAI API. */
 export function formatStreamError ({ cause, ran, retryAfter, detail }: Refusal): string {
   const code = cause.replaceAll(' ', '-')
   const problem = { type: `urn:citronwheel:${code}`, title: code, detail, ran, retryAfter: Math.round(retryAfter), error: { message: detail, type: code, code } }
--- a/src/routing/forwarder.ts
+++ b/src/routing/forwarder.ts
@@ -15,7 +15,7 @@
 import type { ServerDialect } from './server-dialect.js'
 import { Servers } from './servers.js'
 
-/** Passes routed requests on to the servers of a service. */
+/** Forwards routed requests to the servers of a service. */
 @scoped(Lifecycle.ContainerScoped)
 export class Forwarder {
   constructor (
--- a/src/routing/forwarding.ts
+++ b/src/routing/forwarding.ts
@@ -21,19 +21,20 @@
 import type { Servers } from './servers.js'
 import { stepEventProgress } from './step-event-progress.js'
 
-/** Longest wait for the first byte and between two, ms, while another server may take the request over. */
+/** Longest waits for the first byte and for the next ones, ms, while another server may still run the request. */
 const FIRST_BYTE_TIMEOUT = 900
 const READ_TIMEOUT = 600
-/** Come back after this where what was sent to came to nothing and none of it ran, ms. */
+/** Mean of the retry delay suggested to a refused caller, ms. */
 const RETRY_AFTER = 500
-/** Statuses by which a server says that its own run failed. */
+/** Lowest status that reports a failed run. */
 const SERVER_ERROR = 500
+/** Lowest status that isn't a success. */
 const REDIRECTED = 300
-/** Statuses below that by which a server refuses what another one may take. */
+/** Statuses below 500 that refuse a request which another server may accept. */
 const MISDIRECTED = 421
 const TOO_MANY = 429
 
-/** What all forwardings of one daemon share. */
+/** The parts that all forwardings of one daemon use. */
 interface ForwardingTools {
   readonly clock: Clock
   readonly random: Random
@@ -50,17 +51,17 @@
 type Opened = Result<OpenExchange, SendFailure>
 
 /**
- * One request on its way to the servers of a service and its answer on its way back: which failures are followed by
- * another send, what the caller sees of several runs, and what it is told where there is none.
+ * Forwards one request to the servers of a service and relays the answer. Retries failed sends, joins the streams of
+ * several runs into one, and refuses the request if no server answers it.
  */
 export class Forwarding {
   private readonly tried: string[] = []
   private readonly fingerprint: string
   private readonly abort = new AbortController()
   private timedOut = false
-  /** Sends whose outcome may be a run. */
+  /** Failed sends that the servers may have run. */
   private runs = 0
-  /** Whether the answer to the caller has begun. */
+  /** Whether part of a stream has been relayed to the caller. */
   private begun = false
   private lastEventId: number | undefined
 
@@ -98,7 +99,7 @@
     }
   }
 
-  /** Waits for a slot; the send begins in the turn in which it is given. */
+  /** Waits for a slot. The send starts in the same turn of the event loop in which the slot is granted. */
   private async waitForSlot (): Promise<{ readonly server: string, readonly opened: Promise<Opened> } | Refusal> {
     const { request, request: { route }, tools } = this
     return await new Promise(resolve => {
@@ -141,7 +142,7 @@
     }, { body: request.body ?? null, fingerprint: this.fingerprint, headerTimeout: this.getTimeout(FIRST_BYTE_TIMEOUT) })
   }
 
-  /** A server that says nothing is given up only where another one may take over; silence alone is no reason otherwise. */
+  /** Returns `preferred` while another server may run the request after this one; otherwise waits until the deadline. */
   private getTimeout (preferred: number): number {
     const { request: { route, deadline }, tools: { clock } } = this
     const left = Math.max(1, deadline - clock.now())
@@ -158,7 +159,7 @@
     return await this.relayEvents(open)
   }
 
-  /** The server refused: another one may take it. */
+  /** Relays a server's refusal if it concerns the request itself; otherwise returns a failure, so that another server is tried. */
   private async handleNotRun (open: OpenExchange): Promise<SendFailure | undefined> {
     const { status } = open.exchange
     const body = await this.readAll(open)
@@ -181,7 +182,7 @@
       this.tools.servers.observe(open.server.name, 'failed')
       return { why: 'cut', sent: true, detail: `status ${status}` }
     }
-    // What is left of a stream that has begun can't be told by a status.
+    // The caller already has a status and part of a stream, so that another status can't be relayed.
     if (this.begun) return { why: 'cut', sent: true, detail: `status ${status} to a resumed stream` }
     this.sink.answer(status, headers, body)
     this.recordAnswer(open)
@@ -233,25 +234,25 @@
     return { ...failure, sent: true }
   }
 
-  /** Whether another server may run it after the one that just has. */
+  /** Whether another server may run the request after this one has failed. */
   private mayRetry (): boolean {
     return this.request.route.idempotent && this.runs + 1 < this.request.route.attempts && !this.abort.signal.aborted
   }
 
-  /** Takes in a failed send; says whether another one follows. Otherwise the caller has its final answer. */
+  /** Handles a failed send: returns whether to send again, and otherwise finishes the request. */
   private plan (failure: SendFailure, server: string): boolean {
     const { clock, log } = this.tools
     if (failure.sent) this.runs++
     this.tried.push(server)
     const { route } = this.request
     const plan = planResend(failure, { idempotent: route.idempotent, resumable: route.resumable, begun: this.begun, runs: this.runs, attempts: route.attempts, sends: this.tried.length, gone: this.abort.signal.aborted })
-    log.write('info', 'routing', 'a send came to nothing', { request: this.request.id, server, why: failure.why, detail: failure.detail, sent: failure.sent, runs: this.runs, after: Math.round(clock.now() - this.request.arrived), next: plan })
+    log.write('info', 'routing', 'a send failed', { request: this.request.id, server, why: failure.why, detail: failure.detail, sent: failure.sent, runs: this.runs, after: Math.round(clock.now() - this.request.arrived), next: plan })
     if (plan === 'send') return true
     this.finish(this.refuse(this.timedOut ? 'deadline' : 'server failed', failure.detail))
     return false
   }
 
-  /** What may be said of whether it ran. */
+  /** Whether the request may have run. */
   private get ran (): Refusal['ran'] {
     return this.runs > 0 ? 'unknown' : 'not run'
   }
@@ -260,12 +261,12 @@
     return { cause, ran: this.ran, retryAfter: this.tools.random.spread(RETRY_AFTER, 0.5), detail }
   }
 
-  /** Gives the final answer where no server gave it. */
+  /** Logs the failure and sends the caller a refusal, or aborts the stream if it has begun. */
   private finish (refusal: Refusal): void {
     const { log, clock } = this.tools
     const callerLeft = this.request.signal.aborted
     const outcome = callerLeft ? 'caller left' : this.timedOut ? 'deadline' : refusal.cause
-    log.write('warn', 'routing', 'gave a request up', { request: this.request.id, cause: outcome, ran: this.ran, begun: this.begun, waited: Math.round(clock.now() - this.request.arrived), tried: this.tried, detail: refusal.detail })
+    log.write('warn', 'routing', 'abandoned a request', { request: this.request.id, cause: outcome, ran: this.ran, begun: this.begun, waited: Math.round(clock.now() - this.request.arrived), tried: this.tried, detail: refusal.detail })
     this.count(outcome)
     if (this.begun) this.sink.abort()
     else if (!callerLeft) this.sink.refuse({ ...refusal, cause: this.timedOut ? 'deadline' : refusal.cause, ran: this.ran })
--- a/src/routing/hash-request.ts
+++ b/src/routing/hash-request.ts
@@ -1,7 +1,7 @@
 import { createHash } from 'node:crypto'
 import type { ServerRequest } from './server-request.js'
 
-/** Names what a request asks, whoever carries it: the same caller, service, path and body give the same fingerprint. */
+/** Returns a fingerprint of the request's caller, service, path and body, which is equal for repeated requests. */
 export function hashRequest ({ caller, service, path, body }: Pick<ServerRequest, 'caller' | 'service' | 'path' | 'body'>): string {
   const hash = createHash('sha256')
   for (const part of [caller, service, path]) hash.update(part).update('\0')
--- a/src/routing/is-server-gone.ts
+++ b/src/routing/is-server-gone.ts
@@ -1,9 +1,9 @@
 import { isAddressGone } from '../http/is-address-gone.js'
 
 /**
- * Whether nothing listens at a server's address any more, as after the end of its process. Were a connection that it takes while it
- * ends enough to hold it for alive, the request that ended it would go on to the next server with nothing held against it. So
- * the server has to answer.
+ * Whether the server's process has exited, so that nothing listens at its address. Requires an answer to a probe, because
+ * an exiting process may still accept connections. Taken for alive, its loss would not be recorded against the request
+ * that crashed it.
  */
 export async function isServerGone (url: string): Promise<boolean> {
   const { hostname, port, host } = new URL(url)
@@ -11,8 +11,8 @@
 }
 
 /**
- * A request that a server can read and that is no call of its own: it names no resource (RFC 9110, section 9.3.7), and its
- * unknown expectation lets the server turn it down before any handler (section 10.1.1).
+ * Builds a valid request that runs no handler: it names no resource (RFC 9110, section 9.3.7), and a server may reject its
+ * unknown expectation at once (section 10.1.1).
  */
 function buildProbe (host: string): string {
   return `OPTIONS * HTTP/1.1\r\nhost: ${host}\r\nexpect: refusal\r\nconnection: close\r\n\r\n`
--- a/src/routing/list-recent-losses.ts
+++ b/src/routing/list-recent-losses.ts
@@ -1,16 +1,16 @@
 import type { QuarantineState } from './quarantine-state.js'
 
-/** How long what is newly held against a fingerprint may still be news to others, ms. */
+/** Time within which some daemons may not have received a loss yet, ms. */
 const RECENT = 5_000
 
 interface RecentLosses {
-  /** Fingerprints that were accused a moment ago, each with the server of its last loss. */
-  readonly suspects: readonly { readonly fingerprint: string, readonly server: string, /** ms since it was lost. */ readonly ago: number }[]
-  /** Servers lost a moment ago. */
+  /** Recently accused fingerprints, each with the server of its last loss. */
+  readonly suspects: readonly { readonly fingerprint: string, readonly server: string, /** Time since the loss, ms. */ readonly ago: number }[]
+  /** Recently lost servers. */
   readonly servers: readonly string[]
 }
 
-/** What has come to be held so short a time ago that not all daemons may know of it. */
+/** Lists the losses and suspects that are too recent for all daemons to know of them. */
 export function listRecentLosses ({ suspects, lost }: QuarantineState, now: number): RecentLosses {
   return {
     suspects: [...suspects].flatMap(([fingerprint, { losses }]) => {
--- a/src/routing/model-request.ts
+++ b/src/routing/model-request.ts
@@ -1,10 +1,10 @@
-/** What routing reads of a request to a model. */
+/** The properties of a request to a model that routing needs. */
 export interface ModelRequest {
   readonly stream: boolean
-  /** Whether a stream ends with the counts of its tokens. */
+  /** Whether the stream ends with its token usage. */
   readonly includeUsage: boolean
-  /** Beginning of the prompt, which engines may hold in their prefix cache. */
+  /** Beginning of the prompt, which engines may have in their prefix cache. */
   readonly prefix: string
-  /** The body with the answer so far, for an engine that continues it. */
+  /** Returns the body for an engine that continues the answer after the given tokens. */
   resume (tokens: readonly string[]): Buffer
 }
--- a/src/routing/model-stream.ts
+++ b/src/routing/model-stream.ts
@@ -11,29 +11,29 @@
 import type { StreamProgress } from './stream-progress.js'
 
 const DONE = 'data: [DONE]\n\n'
-/** How long the end of the body may take after `[DONE]` for its connection to be kept, ms. */
+/** Time within which the body must end after `[DONE]` for its connection to be reused, ms. */
 const END_TIMEOUT = 100
 
 interface ModelStreamOptions {
   readonly delivery: Delivery
   readonly model: ModelRequest
-  /** Whether the servers go on from tokens given. */
+  /** Whether the servers can continue an answer from given tokens. */
   readonly canResume: boolean
-  /** Longest silence before the first token and between tokens, ms. */
+  /** Returns the timeout for the next token, ms, given the tokens received from this server. */
   readonly getTimeout: (tokens: number) => number
-  /** Hears, once a read, how many tokens came and how long the wait for them was. */
+  /** Is called after each read with tokens: their number, whether they are the server's first, and the wait for them in ms. */
   readonly onTokens: (exchange: OpenExchange, tokens: number, first: boolean, wait: number) => void
   readonly now: () => number
 }
 
 /**
- * A streamed answer as its caller sees it. A stream whose connection breaks or falls silent looks, to a reader that
- * only waits for its end, either whole or endless. Here it goes on from the same token at another server, so that
- * nothing is repeated or reworded; where that can't be, it ends with an `error` event and without `[DONE]`.
+ * A streamed answer of a model, relayed to its caller. If the server fails or stops sending, the answer is continued from
+ * the same token at another server, so that no text is repeated or changed. If it can't be continued, it ends with an
+ * `error` event and without `[DONE]`.
  */
 export class ModelStream {
   readonly body: Readable
-  /** Why it ended before it was whole. */
+  /** Why the stream ended incomplete. */
   failure?: Refusal
   private readonly tokens: string[] = []
   private progress: StreamProgress = { tokenCount: 0, earlierTokenCount: 0, finished: false, done: false, resumable: true }
@@ -67,7 +67,7 @@
     }
   }
 
-  /** Relays one server's part of the answer; gives back the failure that ended it, if any. */
+  /** Relays one server's part of the answer; returns the failure that ended it, if any. */
   private async * relayExchange (): AsyncGenerator<string, SendFailure | undefined> {
     const reader = new SseReader()
     let received = 0
@@ -87,7 +87,7 @@
     return undefined
   }
 
-  /** An answer that has named its end lacks nothing but the mark; any other that stops is cut. */
+  /** Handles a failed read: completes the answer if only `[DONE]` is missing, and otherwise returns the failure. */
   private async * finish (failure: SendFailure): AsyncGenerator<string, SendFailure | undefined> {
     const isUsageMissing = this.options.model.includeUsage && this.progress.usage === undefined
     if (!this.progress.finished || isUsageMissing || failure.why === 'abandoned') return failure
--- a/src/routing/paced-socket.ts
+++ b/src/routing/paced-socket.ts
@@ -1,11 +1,11 @@
 import { Socket } from 'node:net'
 
-/** Any bytes that wait to be taken stop the next read, so that each read is asked for. */
+/** High-water mark in bytes: any unread data stops reading, so that each read goes through `_read`. */
 const READ_MARK = 1
 
 /**
- * A connection that reads at most once in `period` ms. What arrives meanwhile waits in the kernel and comes as one piece: a
- * stream of small events otherwise wakes the process for each of them.
+ * A socket that reads at most once per `period` ms. Data that arrives meanwhile stays in the kernel's buffer and is read at
+ * once, so that a stream of small events doesn't wake the process for each of them.
  */
 export class PacedSocket extends Socket {
   private readAt = -Infinity
--- a/src/routing/plan-daemon-limit.ts
+++ b/src/routing/plan-daemon-limit.ts
@@ -1,20 +1,20 @@
 interface DaemonLimitOptions {
-  /** Requests of all daemons that may be in flight at the server; undefined while its owner hasn't said. */
+  /** Most requests of all daemons at the server; undefined until its owner has reported it. */
   readonly limit: number | undefined
-  /** What the others have in flight there; undefined where that isn't known. */
+  /** Requests of the other daemons in flight there, if known. */
   readonly others: number | undefined
   readonly daemons: number
-  /** Of the limit, what is this daemon's own while callers ask for more than there is; an even part when absent. */
+  /** Fraction of the limit reserved for this daemon under contention; an equal part when absent. */
   readonly fraction?: number
-  /** Between 0 and 1, another one for each daemon and server: how a part that isn't whole is rounded. */
+  /** Added before rounding a fractional part down, from 0 to 1; differs by daemon and server. */
   readonly rounding?: number
 }
 
 /**
- * How much of a server's limit one daemon may use. Its even part is always its own, so that the limit holds without
- * a word between daemons; `fraction` takes its place where callers ask through some daemons more than others, rounded
- * up here and down there, so that the parts add up. What the others don't use is lent to it. Several may borrow the same places until the next
- * count: the limit is then exceeded by what was lent twice, for as long as a count takes.
+ * Returns how much of a server's limit one daemon may use. An equal part is reserved for each daemon, which keeps the limit
+ * without messages between daemons. `fraction` replaces it if demand differs between daemons; parts are rounded up at some
+ * servers and down at others, so that they add up. Capacity that the others don't use may be borrowed. Several daemons may
+ * borrow the same capacity until the next count, and exceed the limit by that much.
  */
 export function planDaemonLimit ({ limit, others, daemons, fraction, rounding = 0.5 }: DaemonLimitOptions): number {
   if (limit === undefined) return Infinity
--- a/src/routing/plan-resend.ts
+++ b/src/routing/plan-resend.ts
@@ -1,6 +1,6 @@
 import type { SendFailure } from './send-failure.js'
 
-/** Sends that ended without a run, after which a request is given up: every other server was as full. */
+/** Sends after which a request is abandoned, even if no server ran it. */
 const MAX_SENDS = 6
 
 interface ResendState {
@@ -8,19 +8,20 @@
   readonly resumable: boolean
   /** Whether part of a stream has been relayed. */
   readonly begun: boolean
-  /** Sends that may have run, the failed one among them. */
+  /** Failed sends that may have run, including the last one. */
   readonly runs: number
-  /** Servers that may run it. */
+  /** Most runs that the route allows. */
   readonly attempts: number
+  /** Sends so far. */
   readonly sends: number
-  /** Whether its caller has left or its deadline has passed. */
+  /** Whether the caller has left or the deadline has passed. */
   readonly gone: boolean
 }
 
 /**
- * What follows a failed send of a routed request. One that provably did not run may go to any other server; one that may
- * have run only where its route lets it run again, on no more servers than it allows; a stream that has begun only where
- * it can go on behind its last event.
+ * Decides whether a routed request is sent again after a failure. A request that certainly hasn't run may go to any other
+ * server. One that may have run is sent again only if its route is idempotent and allows another run. A stream that has
+ * begun must also be resumable after its last event.
  */
 export function planResend (failure: SendFailure, { idempotent, resumable, begun, runs, attempts, sends, gone }: ResendState): 'send' | 'give up' {
   if (gone || sends >= MAX_SENDS) return 'give up'
--- a/src/routing/plan-retry.ts
+++ b/src/routing/plan-retry.ts
@@ -2,6 +2,7 @@
 import type { RetryState } from './retry-state.js'
 import type { SendFailure } from './send-failure.js'
 
+/** Sends after which a request is abandoned. */
 const MAX_ATTEMPTS = 4
 
 type Plan =
@@ -9,8 +10,8 @@
   | { readonly type: 'give up', readonly cause: 'deadline' | 'server failed', readonly detail: string }
 
 /**
- * Decides what follows a failed send. It is repeated only if the request provably never ran or is idempotent, while
- * there is time, and if `takeRetry`, asked last, grants it from the budget.
+ * Decides whether a request is sent again after a failure: only before its deadline, if it certainly hasn't run or is
+ * idempotent, and if `takeRetry`, called last, takes a retry from the budget.
  */
 export function planRetry ({ idempotent, attempts, sent, deadline }: RetryState, failure: SendFailure, { now, takeRetry }: { readonly now: number, readonly takeRetry: () => boolean }): Plan {
   if (now >= deadline) return giveUp('deadline', 'its deadline passed')
--- a/src/routing/quarantine-event.ts
+++ b/src/routing/quarantine-event.ts
@@ -1,6 +1,12 @@
 /**
- * What changes the quarantine's state. `lost` and `accused` are the same fact, seen here or heard from a peer; `unsent`
- * are exchanges of which no byte can have reached the server, and `ago` is how long ago, in ms, the loss was first known. `passed`: it was answered whole.
+ * An event that changes the quarantine's state.
+ * - `began`, `ended`: an exchange of this daemon started or finished.
+ * - `lost`: this daemon detected that a server's process exited. `unsent` are exchanges of which no byte can have been sent.
+ * - `accused`: another daemon reported the requests that were in flight at a lost server.
+ * - `passed`: the request was answered completely.
+ * - `released`: an operator cleared the fingerprint.
+ *
+ * `ago` is the time in ms since the loss was first detected.
  */
 export type QuarantineEvent =
   | { readonly type: 'began', readonly exchange: number, readonly fingerprint: string, readonly server: string }
--- a/src/routing/quarantine-routes.ts
+++ b/src/routing/quarantine-routes.ts
@@ -7,7 +7,7 @@
 import { partRegistry } from '../kernel/part-registry.js'
 import { Quarantine } from './quarantine.js'
 
-/** Shows operators what is suspect or quarantined, and lets them release it at every daemon. */
+/** Operator routes that list suspect and quarantined fingerprints and release one at every daemon. */
 @scoped(Lifecycle.ContainerScoped)
 export class QuarantineRoutes implements Part {
   readonly extensions = ([
--- a/src/routing/quarantine-state.ts
+++ b/src/routing/quarantine-state.ts
@@ -1,11 +1,11 @@
 import type { Suspect } from './suspect.js'
 
-/** Where each exchange is in flight, and what is held against fingerprints. Times in monotonic ms. */
+/** Exchanges in flight from this daemon, and the known losses of servers. Times in monotonic ms. */
 export interface QuarantineState {
-  /** By exchange. */
+  /** Exchanges in flight, by number. */
   readonly inFlight: ReadonlyMap<number, { readonly fingerprint: string, readonly server: string, readonly began: number }>
-  /** By fingerprint. */
+  /** Suspect requests, by fingerprint. */
   readonly suspects: ReadonlyMap<string, Suspect>
-  /** By server: the first word of its last loss. */
+  /** When the last loss of each server was first detected. */
   readonly lost: ReadonlyMap<string, number>
 }
--- a/src/routing/quarantine.ts
+++ b/src/routing/quarantine.ts
@@ -17,25 +17,25 @@
 import type { QuarantineState } from './quarantine-state.js'
 import { stepQuarantine } from './step-quarantine.js'
 
-/** Lost servers at which a fingerprint is kept out. */
+/** Losses after which a fingerprint is quarantined. */
 const QUARANTINE_LOSSES = 2
-/** How long what is held against a fingerprint is kept, ms. */
+/** How long the losses of a fingerprint are kept, ms. */
 const SUSPECT_TTL = 600_000
-/** Longest wait for the other daemons' word of what they had in flight at a lost server, ms. */
+/** Longest wait for the other daemons' reports of what they had in flight at a lost server, ms. */
 const REPORT_TIMEOUT = 1_000
-/** After what times the word of a loss is repeated, ms: a link that has gone silent is replaced within 2.5 s. */
+/** Delays after which an accusation is resent, ms. The second is longer than an unresponsive link takes to be replaced. */
 const RESEND_DELAYS = [1_000, 3_000]
 
 interface InFlight { readonly exchange: number, readonly fingerprint: string, readonly server: string }
 
 /**
- * Keeps out requests that crash backend servers. Some prompt ends each engine process that runs it, and its caller
- * sends it again: without this, the symptom is one engine after another lost, and every request in flight there
- * with it. All that was in flight at a lost server is suspect; a suspect runs alone; at the second loss it is
- * quarantined at every daemon. That is enough because the second run had no other suspect beside it.
+ * Rejects requests that crash backend servers. A prompt may crash each engine that runs it, and its caller retries it, so
+ * that one engine after another is lost with all requests in flight there. Every request in flight at a lost server
+ * becomes suspect. A suspect runs only where no other suspect does, so that a second loss is certainly its own: it is then
+ * quarantined at every daemon.
  *
- * Whoever sends to servers calls `check` before, `begin` as the first byte may go out, and `onServerLost` once it
- * is sure that the server's process ended.
+ * A sender calls `check` before it sends, `begin` when the first byte may be sent, and `onServerLost` once it has confirmed
+ * that the server's process exited.
  */
 @scoped(Lifecycle.ContainerScoped)
 export class Quarantine implements Part {
@@ -48,7 +48,7 @@
 
   private state: QuarantineState = { inFlight: new Map(), suspects: new Map(), lost: new Map() }
   private nextExchange = 0
-  /** By exchange in flight: whether a byte of it can have left. */
+  /** By exchange in flight: returns whether any byte of it may have been sent. */
   private readonly sentChecks = new Map<number, () => boolean>()
   private readonly lossReports = new LossReports()
   private readonly listeners = new Set<(fingerprints: readonly string[]) => void>()
@@ -62,7 +62,7 @@
     @inject(tokens.log) private readonly log: LogSink
   ) {}
 
-  /** `quarantined` is never sent; `suspect` is sent only with no other suspect in flight at its server. */
+  /** Returns the state of a fingerprint. A `suspect` may be sent only in a trial, a `quarantined` request not at all. */
   check (fingerprint: string): 'clear' | 'suspect' | 'quarantined' {
     const suspect = this.state.suspects.get(fingerprint)
     if (suspect === undefined || suspect.until <= this.clock.now() || suspect.losses.length === 0) return 'clear'
@@ -70,8 +70,8 @@
   }
 
   /**
-   * Notes that the request is in flight at the server, of which `isSent` says whether a byte can have left; the function
-   * it gives back ends that and may be called again.
+   * Records that the request is in flight at the server. `isSent` returns whether any byte of it may have been sent. The
+   * returned function ends the record and may be called more than once.
    */
   begin (fingerprint: string, server: string, isSent: () => boolean = () => true): () => void {
     const exchange = this.nextExchange++
@@ -83,17 +83,17 @@
     }
   }
 
-  /** Exchanges in flight from this daemon whose request is suspect, or quarantined since it was sent. */
+  /** Lists exchanges in flight from this daemon whose request is suspect, or has been quarantined since it was sent. */
   listSuspectExchanges (): readonly InFlight[] {
     return [...this.state.inFlight].flatMap(([exchange, { fingerprint, server }]) => this.check(fingerprint) !== 'clear' ? [{ exchange, fingerprint, server }] : [])
   }
 
-  /** What is so new that not all daemons may know of it. */
+  /** Lists the losses and suspects that are too recent for all daemons to know of them. */
   listRecentLosses (): ReturnType<typeof listRecentLosses> {
     return listRecentLosses(this.state, this.clock.now())
   }
 
-  /** Tells a daemon of what is new, but for what it `knows`. */
+  /** Sends a daemon the recent accusations, except those for which `isKnown` returns true. */
   resendAccusations (daemon: string, isKnown: (fingerprint: string) => boolean = () => false): void {
     if (daemon === this.settings.instance) return
     for (const { fingerprint, server, ago } of this.listRecentLosses().suspects) {
@@ -101,7 +101,7 @@
     }
   }
 
-  /** Takes in that another daemon holds the loss against them; what was in flight there from here is told to all. */
+  /** Records a loss reported by another daemon, and publishes what this daemon had in flight at the server. */
   accuse (fingerprints: readonly string[], server: string, ago: number): void {
     this.onServerLost(server, ago)
     this.apply({ type: 'accused', fingerprints, server, ago })
@@ -112,13 +112,13 @@
     this.listeners.add(listener)
   }
 
-  /** A server where the same request is in flight from this daemon, so that its copies don't spread over more. */
+  /** Returns a server where the same request is in flight from this daemon, so that its copies stay on one server. */
   findServer (fingerprint: string): string | undefined {
     for (const exchange of this.state.inFlight.values()) if (exchange.fingerprint === fingerprint) return exchange.server
     return undefined
   }
 
-  /** Holds the end of the server's process against all that was in flight there, and tells the other daemons. */
+  /** Makes all that was in flight at a server suspect after its process exited, and notifies the other daemons. */
   onServerLost (server: string, ago = 0): void {
     const accused = this.recordLoss(server, ago)
     if (accused.length > 0) this.publish({ type: 'suspect', server, ago, fingerprints: accused })
@@ -126,9 +126,9 @@
   }
 
   /**
-   * Resolves once every daemon has said what it had in flight at a server that this one found gone, or after a second.
-   * A copy of a crashing request that comes to a server another copy has just ended is refused there, and nothing is
-   * known against it yet: sent on at once, it ended one server after another, faster than the word of it spreads.
+   * Resolves once every daemon has reported what it had in flight at a server that this one found gone, or after a timeout.
+   * A copy of a crashing request finds its server refusing connections just after another copy has crashed it, and isn't
+   * suspect here yet. Sent on at once, it would crash further servers faster than the accusation spreads.
    */
   async waitForLossReports (server: string): Promise<void> {
     const others = listOthers(this.members.all(), this.settings.instance)
@@ -142,19 +142,19 @@
     cancel()
   }
 
-  /** A server that answers again: of its next end, the others' word is new. */
+  /** Handles an answer of a server: after its next loss, the other daemons are asked again. */
   onServerAnswered (server: string): void {
     this.lossReports.forget(server)
   }
 
-  /** Counts a whole answer of a request against which something is held; enough of them clear it. */
+  /** Records a complete answer to a suspect request, at all daemons. Enough of them clear it. */
   pass (fingerprint: string): void {
     if (this.check(fingerprint) === 'clear') return
     this.apply({ type: 'passed', fingerprint })
     this.publish({ type: 'suspect-passed', fingerprint })
   }
 
-  /** Holds nothing against it any more, at any daemon; says whether anything was held here. */
+  /** Clears a fingerprint at every daemon. Returns false if it is neither suspect nor quarantined here. */
   release (fingerprint: string): boolean {
     if (this.check(fingerprint) === 'clear') return false
     this.apply({ type: 'released', fingerprint })
@@ -162,7 +162,7 @@
     return true
   }
 
-  /** Fingerprints that are suspect or quarantined, for operators. */
+  /** Lists the suspect and quarantined fingerprints, each with the lost servers. */
   list (): readonly { readonly fingerprint: string, readonly state: 'suspect' | 'quarantined', readonly servers: readonly string[] }[] {
     return [...this.state.suspects].flatMap(([fingerprint, { losses }]) => {
       const state = this.check(fingerprint)
@@ -170,14 +170,14 @@
     })
   }
 
-  /** What this daemon had in flight there goes out before its answer, over the same link. */
+  /** Applies an accusation. Sends what this daemon had in flight before `suspect-known`, over the same link. */
   private receiveAccusation ({ fingerprints, server, ago = 0, answer }: PeerMessage, from: string): void {
     if (!Array.isArray(fingerprints)) return
     this.accuse(fingerprints.map(String), String(server), Number(ago))
     if (answer === true) this.links.send(from, { type: 'suspect-known', server })
   }
 
-  /** Tells again what is still held: the first word may be lost, and each daemon without it gives the request one more server to end. */
+  /** Resends accusations that still hold. A daemon that missed the first one might let the request crash another server. */
   private scheduleResends (server: string, accused: readonly string[], ago = 0): void {
     if (accused.length === 0) return
     for (const time of RESEND_DELAYS) {
--- a/src/routing/read-model-request.ts
+++ b/src/routing/read-model-request.ts
@@ -1,11 +1,11 @@
 import type { ModelRequest } from './model-request.js'
 import type { ServerRequest } from './server-request.js'
 
-/** Long enough to tell system prompts apart, short enough that requests that share one agree. */
+/** In characters: enough to distinguish system prompts, few enough that requests which share one get the same prefix. */
 const PREFIX_LENGTH = 256
 const MODEL_PATHS = ['/v1/chat/completions', '/v1/completions']
 
-/** Reads a request in the OpenAI shapes; undefined for any other. */
+/** Reads a request to one of the OpenAI completion endpoints; returns undefined for any other. */
 export function readModelRequest ({ path, body }: Pick<ServerRequest, 'path' | 'body'>): ModelRequest | undefined {
   if (body === undefined || !MODEL_PATHS.includes(path)) return undefined
   try {
--- a/src/routing/read-to-end.ts
+++ b/src/routing/read-to-end.ts
@@ -2,7 +2,7 @@
 import type { Exchange } from './exchange.js'
 import type { SendFailure } from './send-failure.js'
 
-/** The rest of an answer's body, waiting for each part of it as long as `getPatience` says, ms. */
+/** Reads the rest of an answer's body. `getTimeout` returns the longest wait for each read, ms. */
 export async function readToEnd (exchange: Pick<Exchange, 'read'>, getTimeout: () => number): Promise<Result<Buffer, SendFailure>> {
   const parts: Buffer[] = []
   for (;;) {
--- a/src/routing/read-trial-options.ts
+++ b/src/routing/read-trial-options.ts
@@ -3,13 +3,12 @@
 import type { stepTrials } from './step-trials.js'
 
 /**
- * How long a suspect waits for its trial, ms. Servers that end together, as when a rack fails, are noticed one after the
- * other: a request cut by the first was tried at the second while that one was ending, and a request that had done
- * nothing was quarantined, its caller refused for ten minutes. By then those that end within this time are known.
+ * Shortest wait of a suspect for its trial, ms. Servers that fail together, as with a rack, are detected one after the
+ * other; an innocent suspect tried at the next one to fail would be quarantined.
  */
 const TRIAL_DELAY = 150
 
-/** What the daemon that gives trials out goes by at `now`, as it sees the others and what is held. */
+/** Returns the options of `stepTrials` at `now`, from the trial coordinator's view of the members and recent losses. */
 export function readTrialOptions (members: Members, quarantine: Quarantine, now: number): Parameters<typeof stepTrials>[2] {
   const all = members.all()
   const { suspects, servers } = quarantine.listRecentLosses()
--- a/src/routing/retry-state.ts
+++ b/src/routing/retry-state.ts
@@ -1,9 +1,9 @@
-/** What the decision to send again rests on. Times in ms. */
+/** The state of a request for the decision to send it again. Times in monotonic ms. */
 export interface RetryState {
   readonly idempotent: boolean
   /** Sends so far. */
   readonly attempts: number
-  /** Whether any of them can have run. */
+  /** Whether any of them may have run. */
   readonly sent: boolean
   readonly deadline: number
 }
--- a/src/routing/routed-request.ts
+++ b/src/routing/routed-request.ts
@@ -1,23 +1,23 @@
 import type { Route } from '../config/route.js'
 
-/** A caller's request that a route takes. Times in monotonic ms. */
+/** A caller's request that matches a route. Times in monotonic ms. */
 export interface RoutedRequest {
   readonly id: string
   readonly route: Route
   readonly method: string
-  /** With its query, as the caller sent it. */
+  /** Path and query, as the caller sent them. */
   readonly path: string
-  /** What is passed on: without what concerns the connection alone or is set by the system itself. */
+  /** Headers to forward: without those of the connection and those that the system sets itself. */
   readonly headers: Readonly<Record<string, string | readonly string[]>>
   readonly body?: Buffer
-  /** Id of the last event that the caller has, where it resumes a stream. */
+  /** Id of the last event that the caller received, if it resumes a stream. */
   readonly resumeAfter?: string
-  /** The beginning of its prompt that other requests share. */
+  /** Affinity key: the beginning of its prompt that other requests share. */
   readonly key?: string
   readonly arrived: number
-  /** By which it must be answered: the caller's own, or its route's. */
+  /** The caller's own deadline, or its route's. */
   readonly deadline: number
-  /** When its caller first asked, as far as the time that it gives tells; `arrived` for a first try. */
+  /** When the caller first sent it, estimated from the time left that it gives; `arrived` for a first attempt. */
   readonly asked: number
   /** Aborted when the caller leaves. */
   readonly signal: AbortSignal
--- a/src/routing/send-failure.ts
+++ b/src/routing/send-failure.ts
@@ -1,14 +1,14 @@
 /**
- * Why an exchange with a backend server came to nothing.
- * - `unreachable`: no connection; `sent` is then false.
- * - `cut`: the connection broke before the answer was whole.
- * - `silent`: no byte came for longer than a healthy server takes.
- * - `abandoned`: the caller went, or the deadline passed.
- * - `withheld`: it may not begin any more by its own `mayStart`; `sent` is then false, and the server did nothing wrong.
+ * Why an exchange with a backend server failed.
+ * - `unreachable`: no connection could be opened; `sent` is then false.
+ * - `cut`: the connection broke before the answer was complete.
+ * - `silent`: no byte arrived within the timeout.
+ * - `abandoned`: the caller left, or the deadline passed.
+ * - `withheld`: `mayStart` prevented the request; `sent` is then false, and the failure doesn't count against the server.
  */
 export interface SendFailure {
   readonly why: 'unreachable' | 'cut' | 'silent' | 'abandoned' | 'withheld'
-  /** Whether a byte of the request can have left. */
+  /** Whether any byte of the request may have been sent. */
   readonly sent: boolean
   readonly detail: string
 }
--- a/src/routing/sender.ts
+++ b/src/routing/sender.ts
@@ -15,21 +15,21 @@
 import { ServerViews } from './server-views.js'
 import { Servers } from './servers.js'
 
-/** Statuses by which a server says that it can't serve now; a 500 may be the request's own doing. */
+/** Statuses that report an unavailable server. A 500 isn't among them, as the request itself may cause it. */
 const UNAVAILABLE_STATUSES = [502, 503, 504]
 
 interface SendOptions {
   readonly body: Buffer | null
   readonly fingerprint: string
-  /** Longest wait for the head of the answer, ms. */
+  /** Longest wait for the answer's status and headers, ms. */
   readonly headerTimeout: number
 }
 
-/** Carries one request to one server, and tells all that count or judge exchanges of its begin and end. */
+/** Sends a request to a server and reports the exchange to server health, quarantine and observers. */
 @scoped(Lifecycle.ContainerScoped)
 export class Sender {
   private readonly probes = new Map<string, Promise<void>>()
-  /** Exchanges in flight that may be sent again, with their servers. */
+  /** Exchanges in flight of idempotent requests, with their servers. */
   private readonly repeatable = new Map<Exchange, string>()
 
   constructor (
@@ -43,7 +43,7 @@
     views.subscribe(({ server, state }) => { if (state === 'down') this.abandonRepeatable(server) })
   }
 
-  /** Counts the exchange before the first wait, so that a choice made right before still holds. */
+  /** Sends the request. Counts it at the server before the first await, so that the choice of the server still holds. */
   async send (server: BackendServer, request: ServerRequest, { body, fingerprint, headerTimeout }: SendOptions): Promise<Result<OpenExchange, SendFailure>> {
     const exchange = new Exchange({
       clock: this.clock,
@@ -64,14 +64,14 @@
     return Err(opened.val)
   }
 
-  /** Where nothing listens at the server, waits for what the other daemons had in flight there. */
+  /** If the server's process has exited, waits for the other daemons' reports of what they had in flight there. */
   async waitForLossReports ({ name, url }: BackendServer): Promise<void> {
     if (await isServerGone(url)) await this.quarantine.waitForLossReports(name)
   }
 
   private begin (server: BackendServer, request: ServerRequest, exchange: Exchange, fingerprint: string): OpenExchange {
     const observers = this.extensions.collect(exchangeObserverPoint)
-    // Batch streams give way to online requests, so they take no place of theirs.
+    // Batch requests are preempted by online requests, so they don't count towards a server's online limit.
     const release = request.work === 'online' ? this.servers.begin(server.name) : () => {}
     const forget = this.quarantine.begin(fingerprint, server.name, () => exchange.isSent())
     for (const observer of observers) observer.onBegin(request, server.name)
@@ -100,16 +100,16 @@
   }
 
   /**
-   * A server that stands still keeps its connections open and says nothing. Whoever waits for a whole answer there
-   * would wait out half of its deadline; the server's owner knows sooner that it is down, by its health checks.
+   * Abandons the exchanges that may be sent again at a server that its owner found down. A paused server keeps its
+   * connections open, and a request for a complete answer would otherwise wait for half the time to its deadline.
    */
   private abandonRepeatable (server: string): void {
     for (const [exchange, name] of this.repeatable) if (name === server) exchange.abandon('silent')
   }
 
   /**
-   * A cut connection alone doesn't tell a lost server from a lost connection. All exchanges that were cut at the
-   * same time wait for the same probe, so that each is still counted as in flight when the server is judged.
+   * Probes a server after a cut connection, which alone doesn't tell a lost server from a lost connection. All exchanges
+   * cut at the same time wait for one probe, so that each still counts as in flight when the loss is confirmed.
    */
   private async probe (server: BackendServer): Promise<void> {
     const running = this.probes.get(server.url) ?? this.confirmLoss(server).finally(() => this.probes.delete(server.url))
--- a/src/routing/server-answer.ts
+++ b/src/routing/server-answer.ts
@@ -1,8 +1,8 @@
 import type { Readable } from 'node:stream'
 
 /**
- * The answer of a backend server, its body still to be read. `end` must be called
- * once it has been read, or won't be; `whole` says which.
+ * The answer of a backend server with a body still to be read. `end` must be called when the reader is done; `whole` is
+ * whether it read the complete body.
  */
 export interface ServerAnswer {
   readonly server: string
@@ -10,11 +10,11 @@
   readonly headers: Readonly<Record<string, string | string[] | undefined>>
   readonly body: Readable
   end (whole: boolean): void
-  /** Completion tokens relayed so far, for an answer of a model. */
+  /** Returns the completion tokens relayed so far; present for answers of a model. */
   readonly countTokens?: () => number
   /**
-   * Why the body ended before the answer was whole, once it has been read. The caller was told by the body's last
-   * event; its connection is to be closed.
+   * Returns why the body ended incomplete, once it has been read. The body's last event already tells the caller; its
+   * connection must be closed.
    */
   readonly findFailure?: () => string | undefined
 }
--- a/src/routing/server-dialect.ts
+++ b/src/routing/server-dialect.ts
@@ -1,10 +1,10 @@
-/** Header names and marks by which this fleet's backend servers are spoken to. Header values are as HTTP has them. */
+/** Builds and reads the headers that this fleet's backend servers use. */
 export interface ServerDialect {
-  /** Headers that the system sets itself, for one send. Times in ms. */
+  /** Returns the headers that the system adds to one send. Times in ms. */
   buildHeaders (send: { readonly instance: string, readonly left?: number, readonly resumeAfter?: string }): Readonly<Record<string, string>>
-  /** Whether the answer says that its server did not run the request. */
+  /** Whether the answer states that its server did not run the request. */
   isNotRun (status: number, headers: AnswerHeaders): boolean
-  /** The request that the answer belongs to; undefined where it doesn't say. */
+  /** Returns the id of the request that the answer belongs to, if it has one. */
   readRequestId (headers: AnswerHeaders): string | undefined
 }
 
--- a/src/routing/server-health.ts
+++ b/src/routing/server-health.ts
@@ -1,9 +1,9 @@
-/** What this daemon's own exchanges say of a backend server. */
+/** Health of a backend server, derived from this daemon's own exchanges. */
 export interface ServerHealth {
   /** Failures since the last answer. */
   readonly failures: number
-  /** Monotonic ms until which it isn't chosen; 0 while it is in use. */
+  /** Monotonic ms until which the server isn't chosen; 0 if it isn't ejected. */
   readonly ejectedUntil: number
-  /** Ejections since the last answer, which lengthen the next one. */
+  /** Ejections since the last answer; the next one is longer with each. */
   readonly ejections: number
 }
--- a/src/routing/server-loss.ts
+++ b/src/routing/server-loss.ts
@@ -1,6 +1,6 @@
-/** One end of a backend server's process, as one daemon saw it. */
+/** One exit of a backend server's process, as seen by this daemon. */
 export interface ServerLoss {
   readonly server: string
-  /** Monotonic ms of this daemon at which it saw or heard of it. */
+  /** Monotonic ms of this daemon at which the loss was first detected. */
   readonly at: number
 }
--- a/src/routing/server-request.ts
+++ b/src/routing/server-request.ts
@@ -1,4 +1,4 @@
-/** A request on its way to a backend server. */
+/** A request to a backend server. */
 export interface ServerRequest {
   readonly id: string
   readonly caller: string
@@ -9,15 +9,15 @@
   readonly path: string
   readonly headers: Readonly<Record<string, string>>
   readonly body?: Buffer
-  /** Whether it may be sent again when it isn't known whether it ran. */
+  /** Whether it may be sent again if it may have run. */
   readonly idempotent: boolean
-  /** Monotonic ms by which it must be answered. */
+  /** Deadline of the answer, monotonic ms. */
   readonly deadline: number
-  /** Requests in flight above which a server isn't chosen. */
+  /** Requests in flight at which a server is full, whatever its own limit. */
   readonly limit: number
   readonly signal?: AbortSignal
-  /** Whether nobody waits for the single parts of its answer, which may then be read a few times a second. */
+  /** Whether its answer may be read just a few times a second, because it isn't relayed as it arrives. */
   readonly paced?: boolean
-  /** Whether it may still be sent, asked in the turn in which its first byte would leave; where it is absent it may. */
+  /** Checked right before the first byte is written; the request isn't sent if it returns false. */
   readonly mayStart?: () => boolean
 }
--- a/src/routing/server-view.ts
+++ b/src/routing/server-view.ts
@@ -1,13 +1,13 @@
-/** What the owner of a backend server tells about it. */
+/** The state of a backend server as published by its owner. */
 export interface ServerView {
   readonly server: string
   readonly state: 'open' | 'leaving' | 'down'
-  /** Online requests in flight there, over all daemons. */
+  /** Online requests in flight there from all daemons. */
   readonly online: number
   /** Batch requests in flight there. */
   readonly batch: number
-  /** Requests that may be in flight there, online and batch together. */
+  /** Most requests that may be in flight there, online and batch together. */
   readonly limit: number
-  /** Fencing number of the owner that says so; a view with a lower one is dropped. */
+  /** Fencing number of the owner; views with a lower one than the last are dropped. */
   readonly fencing: number
 }
--- a/src/routing/server-views.ts
+++ b/src/routing/server-views.ts
@@ -1,7 +1,7 @@
 import { Lifecycle, scoped } from 'tsyringe'
 import type { ServerView } from './server-view.js'
 
-/** The newest view of each backend server, from its owner. Ownership writes it, routing reads it. */
+/** The newest view of each backend server, as published by its owner. */
 @scoped(Lifecycle.ContainerScoped)
 export class ServerViews {
   private readonly views = new Map<string, ServerView>()
@@ -11,14 +11,14 @@
     return this.views.get(server)
   }
 
-  /** Takes a view unless it comes from an earlier owner than the one known. */
+  /** Stores a view unless it comes from an earlier owner than the current one. */
   update (view: ServerView): void {
     if (view.fencing < (this.views.get(view.server)?.fencing ?? 0)) return
     this.views.set(view.server, view)
     for (const listener of this.listeners) listener(view)
   }
 
-  /** Calls `listener` with each view that is taken. */
+  /** Calls `listener` with each view that is stored. */
   subscribe (listener: (view: ServerView) => void): void {
     this.listeners.add(listener)
   }
--- a/src/routing/servers.ts
+++ b/src/routing/servers.ts
@@ -21,29 +21,26 @@
 /** How long an idle connection is kept for reuse, ms. */
 const KEEP_ALIVE = 500
 /**
- * How long a new connection to a server may take, ms: many round trips within a region. A server that has gone dark answers
- * nothing; what waits for its connection was not sent, and goes to another one.
+ * Longest time to establish a connection, ms; many round trips within a region. A request that waits for a connection to an
+ * unresponsive server hasn't been sent, and goes to another server.
  */
 const CONNECT_TIMEOUT = 400
 /**
- * Least time between two reads of an answer whose parts nobody waits for, ms. Each read wakes the process: an item's events, one
- * in 30 ms, then come six and more in a turn. A slot is taken to be busy for up to this long after its item of some
- * seconds has ended.
+ * Shortest time between two reads of a paced answer, ms. Each read wakes the process, so several events are read at once.
+ * The end of an answer is noticed, and its slot freed, up to this much later.
  */
 const READ_PERIOD = 200
-/** How long an owner's count of the other daemons' requests is gone by, ms. */
+/** How long an owner's count of the other daemons' requests is used, ms. */
 const COUNT_TTL = 1_000
 
 const connectPaced = createPacedConnector({ timeout: CONNECT_TIMEOUT, period: READ_PERIOD })
 
 /**
- * The backend servers, what this daemon has in flight on each, and its connections to them. Online and batch have
- * connections of their own, so that neither waits behind the other, and so have answers that are read a few times a second.
+ * The backend servers, this daemon's requests in flight at each, and its connections to them. Online, batch and paced
+ * requests have separate connections, so that none waits behind another kind.
  *
- * An idle connection may have gone silent: something between the two ends forgot it, and what is sent on it is lost
- * without a word. Its symptom is a request that waits out its whole patience while new connections work. Idle
- * connections are therefore closed after half a second, whatever longer time a server offers; connections in use
- * show their silence by themselves.
+ * Idle connections are closed after half a second, whatever keep-alive time a server offers: a middlebox may have dropped
+ * one without notice, and a request sent on it would wait for its whole timeout.
  */
 @scoped(Lifecycle.ContainerScoped)
 export class Servers implements Part {
@@ -54,7 +51,7 @@
   private readonly limits = new Map<string, AdaptiveLimit>()
   private readonly others = new Map<string, { readonly count: number, readonly at: number }>()
   private readonly listeners = new Set<() => void>()
-  /** By pool: what this daemon may use of its servers, while that is told. */
+  /** By pool: the fraction of its servers' limits reserved for this daemon, if set. */
   private readonly fractions = new Map<string, number>()
 
   constructor (
@@ -73,6 +70,7 @@
     await Promise.all(Object.values(this.pools).map(async pool => await pool.destroy()))
   }
 
+  /** Returns the servers of a pool with their current load and this daemon's limits. */
   inPool (pool: string): readonly BackendServer[] {
     const fraction = this.fractions.get(pool)
     const owners = this.members.owners()
@@ -95,19 +93,19 @@
     })
   }
 
-  /** What this daemon may use of the pool's servers; an even part where that is undefined. */
+  /** Sets the fraction of the pool's limits reserved for this daemon; undefined for an equal part. */
   setFraction (pool: string, fraction: number | undefined): void {
     if (fraction === undefined) this.fractions.delete(pool)
     else this.fractions.set(pool, fraction)
   }
 
-  /** Requests of all daemons that the pool's servers take at once; undefined while an owner hasn't said. */
+  /** Returns the sum of the limits of the pool's servers; undefined until every owner has reported its server's. */
   sumLimits (pool: string): number | undefined {
     const limits = this.list.all.filter(instance => instance.pool === pool && instance.state !== 'leaving').map(({ name }) => this.views.get(name)?.limit)
     return limits.reduce<number | undefined>((sum, limit) => sum === undefined || limit === undefined ? undefined : sum + limit, 0)
   }
 
-  /** The pool of a server, where the instance list has it. */
+  /** Returns the pool of a server, if the server is in the instance list. */
   findPool (server: string): string | undefined {
     return this.list.all.find(({ name }) => name === server)?.pool
   }
@@ -116,7 +114,7 @@
     return this.inPool(this.findPool(server) ?? '').find(({ name }) => name === server)
   }
 
-  /** Counts a request in flight; the function it gives back ends it and is called once. */
+  /** Counts a request in flight. The returned function ends it and must be called once. */
   begin (server: string): () => void {
     this.counts.set(server, (this.counts.get(server) ?? 0) + 1)
     return () => {
@@ -125,37 +123,38 @@
     }
   }
 
-  /** Notes how an exchange with the server went. */
+  /** Records the outcome of an exchange for the server's health. */
   observe (server: string, event: 'answered' | 'failed' | 'unreachable'): void {
     const next = stepServerHealth(this.health.get(server), event, this.clock.now())
     if (next === undefined) this.health.delete(server)
     else this.health.set(server, next)
   }
 
-  /** Notes how long the server took in relation to its target, for its limit, which starts at `highest`. */
+  /** Records the ratio of an answer's time to its target for the server's adaptive limit, which starts at `highest`. */
   record (server: string, ratio: number, highest: number): void {
     const limit = this.limits.get(server) ?? new AdaptiveLimit({ highest })
     this.limits.set(server, limit)
     limit.record({ ratio, inFlight: this.counts.get(server) ?? 0, now: this.clock.now() })
   }
 
-  /** Calls `listener` whenever a request ends, so that there may be a place; the function it gives back stops that. */
+  /** Calls `listener` whenever a request ends and capacity may be free. The returned function unsubscribes it. */
   subscribe (listener: () => void): () => void {
     this.listeners.add(listener)
     return () => this.listeners.delete(listener)
   }
 
-  /** Resolves at the next end of a request, or after `timeout` ms. */
+  /** Resolves when the next request ends, or after `timeout` ms. */
   async waitForRelease (timeout: number): Promise<void> {
     await waitForNext(this.clock, listener => this.subscribe(listener), timeout)
   }
 
-  /** What the other daemons had in flight there by a view that isn't too old to go by. */
+  /** Returns the other daemons' requests in flight at the server; undefined if the last view is too old. */
   private countOthers (server: string): number | undefined {
     const reported = this.others.get(server)
     return reported !== undefined && this.clock.now() - reported.at <= COUNT_TTL ? reported.count : undefined
   }
 
+  /** Returns the adaptive limit of a server, 0 while it is ejected, or 1 while it is probed after an ejection. */
   private readLimit (server: string): number {
     const health = this.health.get(server)
     if (health !== undefined && health.ejections > 0) return this.clock.now() < health.ejectedUntil ? 0 : 1
--- a/src/routing/spread-rounding.ts
+++ b/src/routing/spread-rounding.ts
@@ -1,9 +1,9 @@
 const GOLDEN = (Math.sqrt(5) - 1) / 2
 
 /**
- * How one daemon rounds its part of one server, between 0 and 1: up at some servers and down at others so that its whole
- * part is met within one place, and other than the other daemons at the same server. Rounded all alike, parts of half a
- * place would add up to twice the pool, or to nothing.
+ * Returns the rounding of one daemon's part of one server's limit, between 0 and 1. It varies by server, so that the rounded
+ * parts add up to the daemon's fraction of the pool, and by daemon, so that daemons don't all round up at the same server.
+ * With one rounding for all, parts of one half would add up to twice the limit or to nothing.
  *
  * Source: the golden-ratio (Weyl) sequence, Knuth, "The Art of Computer Programming", volume 3, section 6.4.
  */
--- a/src/routing/sse-event.ts
+++ b/src/routing/sse-event.ts
@@ -1,7 +1,7 @@
-/** One whole event of a server-sent event stream. */
+/** One complete server-sent event. */
 export interface SseEvent {
   /** Its `data` lines, joined by line breaks. */
   readonly data: string
-  /** The event as it came, with the blank line that ends it. */
+  /** The event's original text, with the blank line that ends it. */
   readonly raw: string
 }
--- a/src/routing/sse-reader.ts
+++ b/src/routing/sse-reader.ts
@@ -5,8 +5,8 @@
 const LINE_BREAK = /\r\n|\n|\r/
 
 /**
- * Cuts a byte stream into server-sent events. Only whole events come out: what follows the last blank line is held
- * until its own comes, and is never seen if the stream ends before.
+ * Decodes a byte stream into server-sent events. Returns complete events only; text after the last blank line is buffered
+ * and discarded if the stream ends.
  *
  * Source: HTML standard, section 9.2, "Server-sent events".
  */
@@ -14,6 +14,7 @@
   private buffered = ''
   private readonly decoder = new StringDecoder('utf8')
 
+  /** Adds bytes and returns the events that they complete. */
   push (bytes: Buffer): readonly SseEvent[] {
     this.buffered += this.decoder.write(bytes)
     const events: SseEvent[] = []
--- a/src/routing/sse-splitter.ts
+++ b/src/routing/sse-splitter.ts
@@ -1,34 +1,35 @@
-/** Two line breaks in a row, by the bytes of an event stream. */
+/** The end of an event: two line breaks in a row. */
 const BLANK_LINE = /\r\n\r\n|\n\n|\r\r/
 const ID = /^id: ?(.*)$/m
 const DATA = /^data: ?(.*)$/gm
 
-/** One whole event of a stream, its bytes unchanged. */
+/** One complete event with its original bytes. */
 interface RawEvent {
   readonly bytes: Buffer
-  /** Its id, where it has one that is a number. */
+  /** The event's id if it is a number. */
   readonly id: number | undefined
-  /** Its data lines, joined by line feeds. */
+  /** The event's `data` lines, joined by line feeds. */
   readonly data: string
 }
 
 /**
- * Cuts the bytes of a stream into whole events without changing them; what follows the last blank line is held back, so
- * that an event which its server broke off is never seen. Bytes are held as Latin-1, which any bytes survive.
+ * Splits a byte stream into complete server-sent events without changing their bytes. Buffers what follows the last blank
+ * line, so that an incomplete event is never relayed. Decodes as Latin-1, which maps any byte to one character and back.
  *
  * Source: HTML standard, section 9.2, "Server-sent events".
  *
  * @example
- * for (const event of cutter.push(bytes)) relay(event.bytes)
+ * for (const event of splitter.push(bytes)) relay(event.bytes)
  */
 export class SseSplitter {
   private buffered = ''
 
-  /** Whether nothing of an unfinished event is held. */
+  /** Whether the bytes so far end with a complete event. */
   get isAtBoundary (): boolean {
     return this.buffered === ''
   }
 
+  /** Adds bytes and returns the events that they complete. */
   push (bytes: Buffer): readonly RawEvent[] {
     this.buffered += bytes.toString('latin1')
     const events: RawEvent[] = []
--- a/src/routing/step-event-progress.ts
+++ b/src/routing/step-event-progress.ts
@@ -1,4 +1,4 @@
-/** How far a stream of numbered events has come; `last` is undefined before the first. */
+/** Progress of a stream of numbered events: the id of the last event relayed, undefined before the first. */
 interface EventProgress {
   readonly last: number | undefined
 }
@@ -6,9 +6,9 @@
 type Step = { readonly type: 'relay', readonly progress: EventProgress } | { readonly type: 'known' } | { readonly type: 'gap' }
 
 /**
- * What to do with an event that has come: relay it, leave it out because the caller has it, or give the run up because
- * one before it is missing. A run that goes on at another server must begin right behind the last event relayed; joined
- * anywhere else, the answer would look whole and lack a piece or have one twice.
+ * Decides what to do with a received event: relay it, skip it because the caller already has it (`known`), or fail the run
+ * because an earlier one is missing (`gap`). A run that resumes a stream must continue right after the last event relayed,
+ * or the answer would look complete with an event missing or repeated.
  */
 export function stepEventProgress (progress: EventProgress, id: number | undefined): Step {
   if (id === undefined) return { type: 'relay', progress }
--- a/src/routing/step-progress.ts
+++ b/src/routing/step-progress.ts
@@ -7,12 +7,12 @@
 interface Usage { readonly completion_tokens?: number, readonly total_tokens?: number }
 interface Chunk { id?: string, readonly choices?: readonly Choice[], readonly usage?: Usage | null }
 
-interface Step { readonly progress: StreamProgress, readonly relay?: string, /** The piece of text that it gives. */ readonly token?: string }
+interface Step { readonly progress: StreamProgress, readonly relay?: string, /** The piece of text in the event. */ readonly token?: string }
 
 /**
- * Takes one event of a streamed answer. `relay` is what the caller is to see of it, under the id of the first chunk
- * though a later server may have given another, and with the usage of all servers; it is absent for what the caller has
- * already seen.
+ * Applies one event of a streamed answer. `relay` is the text to send to the caller, with the id of the first chunk even if
+ * a later server uses another, and with the usage of all servers together. It is absent if the event repeats what the
+ * caller has already received.
  */
 export function stepProgress (progress: StreamProgress, { data, raw }: SseEvent): Step {
   if (data === '') return { progress, relay: raw }
@@ -44,7 +44,7 @@
   return { ...usage, completion_tokens: completion + carried, total_tokens: total + carried }
 }
 
-/** Whether the chunk carries nothing but text: tool calls and the like can't be continued from tokens. */
+/** Whether the choice contains only text. Tool calls and the like can't be continued from tokens. */
 function isPlain ({ delta = {} }: Choice): boolean {
   return Object.entries(delta).every(([name, value]) => name === 'content' || name === 'role' || value === null)
 }
--- a/src/routing/step-quarantine.ts
+++ b/src/routing/step-quarantine.ts
@@ -4,9 +4,9 @@
 import type { ServerLoss } from './server-loss.js'
 import type { Suspect } from './suspect.js'
 
-/** Losses of one server nearer together than this (ms) are one: several daemons tell of the same end, some late. */
+/** Losses of one server within this time (ms) count as one, as several daemons report the same exit. */
 const SAME_LOSS_WINDOW = 5_000
-/** By what the whole runs that clear a suspect grow with each loss that it was cleared of before. */
+/** Factor by which the passes needed to clear a suspect grow with each earlier loss. */
 const PASS_GROWTH = 4
 
 interface Step { readonly state: QuarantineState, readonly accused: readonly string[] }
@@ -14,15 +14,15 @@
 interface StepOptions { readonly now: number, readonly keep: number }
 
 /**
- * Moves the quarantine on by one event. `accused` are the fingerprints that the event newly holds a loss against,
- * for the other daemons to hear. What is held against a fingerprint is a union of losses, so that daemons that hear
- * of the same losses in any order agree.
+ * Applies one event to the quarantine's state. `accused` are the fingerprints to which the event adds a loss, to be
+ * published to the other daemons. The losses of a fingerprint form a set, so that daemons which receive the same losses in
+ * any order agree.
  *
- * What had no byte at the server, or began only after the first word of its loss, has no part in it. Without that, a
- * request let go to a server that was just ending was quarantined for a loss that another had caused.
+ * An exchange isn't accused if none of its bytes was sent, or if it began after the loss was first detected: a request sent
+ * to a server that is just exiting didn't cause the loss.
  *
- * A request that crashes servers only now and then passes some of its runs. One pass clears a suspect; one that is
- * suspect again after it was cleared needs four, then sixteen, each alone, and a loss in any of them is its second.
+ * A request that crashes servers only sometimes passes some of its trials. One pass clears a suspect; if it becomes suspect
+ * again it needs four, then sixteen, and a loss among these quarantines it.
  */
 export function stepQuarantine (state: QuarantineState, event: QuarantineEvent, options: StepOptions): Step {
   switch (event.type) {
--- a/src/routing/step-server-health.ts
+++ b/src/routing/step-server-health.ts
@@ -1,15 +1,18 @@
 import { failUnreachable } from '../kernel/unreachable.js'
 import type { ServerHealth } from './server-health.js'
 
+/** Failures in a row at which a server is ejected. */
 const MAX_FAILURES = 3
+/** Times in ms. */
 const MIN_EJECTION = 500
 const MAX_EJECTION = 30_000
 
 type HealthEvent = 'answered' | 'failed' | 'unreachable'
 
 /**
- * Ejects a server after three failures in a row, or at once when nothing listens there, for a time that doubles with
- * each ejection. When it has run out the server gets one request at a time, as a probe, until it answers.
+ * Applies the outcome of an exchange to a server's health; undefined is healthy. Ejects a server after repeated failures,
+ * or immediately if it is unreachable, for a time that doubles with each ejection. Afterwards the server gets one request
+ * at a time, as a probe, until it answers.
  */
 export function stepServerHealth (health: ServerHealth | undefined, event: HealthEvent, now: number): ServerHealth | undefined {
   const { failures, ejections, ejectedUntil } = health ?? { failures: 0, ejections: 0, ejectedUntil: 0 }
--- a/src/routing/step-trials.ts
+++ b/src/routing/step-trials.ts
@@ -3,38 +3,40 @@
 import type { TrialsEvent } from './trials-event.js'
 import type { TrialsState } from './trials-state.js'
 
-/** How long an ask holds, ms; askers repeat theirs several times in that time. */
+/** Time after which an ask, hold or trial expires unless it is repeated, ms; daemons repeat theirs several times in it. */
 const ASK_TTL = 1_500
-/** How long an ask waits for daemons that aren't ready, ms, where membership doubts that they are there. */
+/** Longest wait of an ask for daemons that aren't ready and that membership suspects, ms. */
 const SUSPECTED_READY_TIMEOUT = 1_000
-/** How long it waits for the others: one that is busy for seconds may have a copy in flight, and not know of the suspect. */
+/** Longest wait for the others, ms. A daemon that is busy for seconds may have a copy in flight and not know of the suspect. */
 const READY_TIMEOUT = 5_000
-/** How long it is kept which daemons are ready, ms. */
+/** How long a daemon's readiness for a suspect is kept, ms. */
 const READY_TTL = 600_000
 
 interface StepOptions {
   readonly now: number
-  /** All daemons that may have copies in flight. */
+  /** All daemons, as any may have copies in flight. */
   readonly daemons: readonly string[]
-  /** Those of them that membership doesn't doubt; all when absent. */
+  /** Those that membership doesn't suspect; all when absent. */
   readonly alive?: readonly string[]
-  /** Fingerprints that became suspect a moment ago: all daemons must know of them before any trial. */
+  /** Fingerprints that recently became suspect. All daemons must know of them before any trial. */
   readonly recentSuspects?: readonly string[]
-  /** Servers lost a moment ago, where no trial is given. */
+  /** Recently lost servers, where no trial is granted. */
   readonly lost?: readonly string[]
-  /** Least time in ms from the first ask to the trial. */
+  /** Shortest time from the first ask to the trial, ms. */
   readonly pause?: number
 }
 
 interface Grant { readonly id: string, readonly server: string }
 
 /**
- * Gives out trials: at most one suspect at a server at a time, and at most one request with the same fingerprint in
- * the whole fleet, so that a second loss has one suspect only. What was in flight when it became suspect counts like
- * a trial. No trial begins before every daemon knows of all that is newly suspect and has told what it has in flight:
- * otherwise one that hasn't heard of the crashing request sends a copy of it beside another suspect's trial, and that
- * one is quarantined for it. This is waited for five seconds, or one for daemons that membership doubts. Asks that are
- * no longer repeated lapse, so that a daemon that is gone holds nobody up.
+ * Grants trials: at most one suspect per server at a time, and at most one request per fingerprint in the whole fleet, so
+ * that a second loss has a single suspect. An exchange that was in flight when its request became suspect counts like a
+ * trial.
+ *
+ * No trial begins until every daemon knows of all recent suspects and has reported its exchanges in flight. Otherwise a
+ * daemon that doesn't know of the crashing request could send a copy to the server of another suspect's trial, and that
+ * suspect would be quarantined. The wait has a timeout, a shorter one for daemons that membership suspects. Asks expire
+ * unless repeated, so that a daemon that has exited blocks no others.
  */
 export function stepTrials (state: TrialsState, event: TrialsEvent, options: StepOptions): { readonly state: TrialsState, readonly grants: readonly Grant[] } {
   const { now } = options
--- a/src/routing/stream-progress.ts
+++ b/src/routing/stream-progress.ts
@@ -1,17 +1,17 @@
-/** How far a model's streamed answer has come, as it was relayed to the caller. */
+/** Progress of a model's streamed answer, as relayed to the caller. */
 export interface StreamProgress {
-  /** Pieces of text given so far, one a chunk. */
+  /** Chunks with text relayed so far. */
   readonly tokenCount: number
-  /** Id of the answer: that of its first chunk. */
+  /** Id of the answer, taken from its first chunk. */
   readonly id?: string
-  /** A chunk has named why the answer ended. */
+  /** Whether a chunk gave a finish reason. */
   readonly finished: boolean
-  /** `[DONE]` has come. */
+  /** Whether `[DONE]` was received. */
   readonly done: boolean
-  /** Whether the tokens are all there is to continue from: one choice and plain text. */
+  /** Whether the answer can be continued from its tokens: it has one choice and plain text only. */
   readonly resumable: boolean
-  /** Tokens that earlier servers gave, which the present one doesn't count. */
+  /** Tokens from earlier servers, which the current one doesn't count in its usage. */
   readonly earlierTokenCount: number
-  /** Completion tokens by the servers' own count, where they gave one. */
+  /** Completion tokens as counted by the servers, if they reported usage. */
   readonly usage?: number
 }
--- a/src/routing/suspect.ts
+++ b/src/routing/suspect.ts
@@ -1,13 +1,13 @@
 import type { ServerLoss } from './server-loss.js'
 
-/** What is held against one fingerprint. */
+/** The losses recorded for one fingerprint. */
 export interface Suspect {
-  /** Losses of servers that had the request in flight, each once, and that no later whole run has answered for. */
+  /** Losses of servers that had the request in flight, each once, of which it hasn't been cleared. */
   readonly losses: readonly ServerLoss[]
-  /** Losses that whole runs have answered for. */
+  /** Losses of which it was cleared by complete answers. */
   readonly clearedLosses: readonly ServerLoss[]
-  /** Whole runs since the last loss. */
+  /** Complete answers since the last loss. */
   readonly passes: number
-  /** Monotonic ms at which this is forgotten. */
+  /** Monotonic ms at which the record expires. */
   readonly until: number
 }
--- a/src/routing/time-estimate.ts
+++ b/src/routing/time-estimate.ts
@@ -1,9 +1,10 @@
 const MEAN_GAIN = 1 / 8
 const DEVIATION_GAIN = 1 / 4
+/** Deviations above the mean after which an answer counts as lost. */
 const DEVIATIONS = 8
 
 /**
- * A smoothed mean of observed times and their deviation, from which to tell a slow answer from none.
+ * A smoothed mean and deviation of observed times, for timeouts that adapt to them.
  *
  * Source: Jacobson, "Congestion avoidance and control", 1988; RFC 6298.
  */
@@ -11,7 +12,7 @@
   private mean?: number
   private deviation = 0
 
-  /** `time` in ms. */
+  /** Adds an observed time, ms. */
   record (time: number): void {
     if (this.mean === undefined) {
       this.mean = time
@@ -23,7 +24,7 @@
     this.deviation += (Math.abs(error) - this.deviation) * DEVIATION_GAIN
   }
 
-  /** How long to wait before taking it for lost, in ms between the two bounds; the higher one while nothing is known. */
+  /** Returns a timeout in ms within the two bounds; `highest` until a time has been observed. */
   getTimeout (lowest: number, highest: number): number {
     if (this.mean === undefined) return highest
     return Math.min(highest, Math.max(lowest, this.mean + DEVIATIONS * this.deviation))
--- a/src/routing/trial.ts
+++ b/src/routing/trial.ts
@@ -1,6 +1,6 @@
-/** Leave for one suspect to run at a server where no other suspect runs. */
+/** Permission for a suspect to run at a server where no other suspect runs. */
 export interface Trial {
   readonly server: string
-  /** Gives the leave back; may be called again. */
+  /** Ends the trial; may be called more than once. */
   end (): void
 }
--- a/src/routing/trials-event.ts
+++ b/src/routing/trials-event.ts
@@ -1,9 +1,9 @@
 /**
- * What the daemon that gives trials out hears. `ask` and `hold` are repeated for as long as they are meant.
- * - `ask`: wants a trial at one of the servers.
- * - `hold`: was in flight at the server when it became suspect, and still is.
- * - `ready`: the daemon knows that they are suspect, and has told its holds; it sends them by trial only.
- * - `done`: wants it no more, or has ended.
+ * An event at the trial coordinator. Daemons repeat `ask` and `hold` for as long as they apply.
+ * - `ask`: requests a trial at one of the servers.
+ * - `hold`: an exchange was in flight at the server when its request became suspect, and still is.
+ * - `ready`: the daemon knows of these suspects, has reported its holds, and sends them by trial only.
+ * - `done`: withdraws an ask, or ends a trial or a hold.
  */
 export type TrialsEvent =
   | { readonly type: 'ask', readonly id: string, readonly fingerprint: string, readonly servers: readonly string[] }
--- a/src/routing/trials.ts
+++ b/src/routing/trials.ts
@@ -16,9 +16,9 @@
 import type { TrialsEvent } from './trials-event.js'
 import type { TrialsState } from './trials-state.js'
 
-/** How often asks and holds are repeated, ms. */
+/** Interval at which asks and holds are repeated, ms. */
 const ASK_PERIOD = 100
-/** How often daemons repeat which suspects they know, ms: a frame may be lost, and another daemon may give trials out. */
+/** Interval at which daemons repeat which suspects they know, ms: a frame may be lost, or the coordinator may change. */
 const READY_PERIOD = 500
 
 interface WaitOptions { readonly deadline: number, readonly signal?: AbortSignal }
@@ -26,9 +26,9 @@
 type Outcome = Trial | 'cleared' | 'quarantined' | 'deadline'
 
 /**
- * Runs suspects apart. One daemon, by rendezvous over those that may own things, gives the trials of the whole fleet
- * out. Were it two for a moment, because daemons disagree about the members, two suspects could meet at one server:
- * each of the two lacks the word of daemons that tell the other, and so gives nothing out for seconds.
+ * Runs each suspect alone at its server. One daemon, chosen by rendezvous hashing among those that may own things, is the
+ * trial coordinator of the whole fleet. While daemons disagree about the members there may be two, which could grant two
+ * trials at one server; but each lacks the readiness of the daemons that report to the other, and grants none for seconds.
  */
 @scoped(Lifecycle.ContainerScoped)
 export class Trials implements Part {
@@ -54,7 +54,7 @@
     @inject(tokens.settings) private readonly settings: Settings,
     @inject(tokens.clock) private readonly clock: Clock
   ) {
-    // A moment later, when the exchanges that the lost server cut have ended.
+    // Delayed until the exchanges that the lost server cut have ended.
     quarantine.subscribe(fingerprints => {
       clock.after(1, () => {
         this.reportHolds()
@@ -71,7 +71,7 @@
     for (const cancel of this.cancels) cancel()
   }
 
-  /** Resolves with leave to run at one of the servers listed, or with why there is no need or no use for it. */
+  /** Resolves with a trial at one of the listed servers, or with the reason why none is needed or possible. */
   async wait (fingerprint: string, listServers: () => readonly string[], { deadline, signal }: WaitOptions): Promise<Outcome> {
     const id = `${this.settings.instance}.${this.clock.date()}.${this.count++}`
     return await new Promise<Outcome>(resolve => {
@@ -94,7 +94,7 @@
       }
       this.asks.set(id, answer => {
         if (this.granted.has(id)) return
-        // From here on it is told as what is in flight is, so that another daemon that comes to give trials out knows.
+        // From now on reported as a hold, so that a new coordinator knows of it.
         cancel()
         if (answer !== 'quarantined') this.granted.set(id, { fingerprint, server: answer })
         finish(answer === 'quarantined' ? answer : { server: answer, end })
@@ -104,8 +104,8 @@
   }
 
   /**
-   * Copies of a suspect may be in flight through several daemons when the first of them ends its server. Were they
-   * not known, another suspect could be tried beside one, and be blamed for what the copy does.
+   * Reports the suspect exchanges in flight from this daemon, and those that have ended. Copies of a suspect may be in
+   * flight from several daemons when the first crashes its server; another suspect must not be tried beside one of them.
    */
   private reportHolds (): void {
     const holds = this.quarantine.listSuspectExchanges().map(hold => ({ ...hold, id: this.nameHold(hold) }))
@@ -125,8 +125,8 @@
   }
 
   /**
-   * Repeats what is new: to the daemon that gives trials out, and from there to those that haven't said that they know
-   * it. A frame may be lost, and a daemon that never heard of a suspect sends the next copy of it to a third server.
+   * Resends recent accusations to the coordinator, or from the coordinator to the daemons that haven't reported ready. A
+   * daemon that missed one would send the next copy of the suspect to a third server.
    */
   private resendRecentLosses (): void {
     const { suspects } = this.quarantine.listRecentLosses()
@@ -151,13 +151,13 @@
     else this.receiveAsk(message as unknown as { id: string, fingerprint: string, servers: readonly string[] }, coordinator)
   }
 
-  /** An asker's accusations come over the same link before its next message, so that none is granted past them. */
+  /** Handles an ask. Its sender's accusations arrive before it over the same link, so that no trial is granted without them. */
   private receiveAsk ({ id, fingerprint, servers }: { readonly id: string, readonly fingerprint: string, readonly servers: readonly string[] }, from: string): void {
     if (this.quarantine.check(fingerprint) === 'quarantined') this.answer(from, id, undefined)
     else this.apply({ type: 'ask', id, fingerprint, servers })
   }
 
-  /** A trial that ended its server says so itself, so that no copy is tried where the word of the loss was lost. */
+  /** Ends an ask, trial or hold. The end of a trial that crashed its server includes the loss, as the accusation may be lost. */
   private receiveDone ({ id, fingerprint, server, ago }: PeerMessage): void {
     if (server !== undefined) this.quarantine.accuse([String(fingerprint)], String(server), Number(ago))
     this.apply({ type: 'done', id: String(id) })
--- a/src/routing/whole-answer.ts
+++ b/src/routing/whole-answer.ts
@@ -3,19 +3,19 @@
 import type { OpenExchange } from './open-exchange.js'
 import type { SendFailure } from './send-failure.js'
 
-/** Bytes of an answer that are held until it is whole. */
+/** Longest answer that is buffered until it is complete, bytes. */
 const MAX_BUFFERED_BYTES = 4_000_000
 
 interface WholeAnswer {
   readonly body: Readable
-  /** Completion tokens by the server's count; 0 where it gives none. */
+  /** Completion tokens as counted by the server; 0 if it reports none. */
   readonly tokens: number
 }
 
 /**
- * Reads an answer to its end before any of it is shown, so that one that is cut can still be asked for again, or be
- * refused with a status of its own. A stream, or a longer answer than is held, is passed on as it comes; if it is cut
- * then, its body fails. `getPatience` gives the longest silence in the middle of a body, ms.
+ * Reads an answer to its end before any of it is relayed, so that the request can still be retried or refused if the answer
+ * is cut. Streams and answers that exceed the buffer are relayed as they arrive; their body fails if it is cut.
+ * `getTimeout` returns the longest wait for each read, ms.
  */
 export async function readWholeAnswer (open: OpenExchange, getTimeout: () => number): Promise<Result<WholeAnswer, SendFailure>> {
   const parts: Buffer[] = []
@@ -35,8 +35,8 @@
 }
 
 /**
- * A body without a length of its own and without chunks ends where its connection does: one that is cut looks whole.
- * For JSON the text itself tells.
+ * Whether the body is incomplete. Without a content length or chunked encoding it ends with its connection, so that a cut
+ * isn't visible; JSON is then checked by parsing it.
  */
 function isCut ({ exchange: { headers } }: OpenExchange, body: Buffer): boolean {
   const { 'content-length': length, 'transfer-encoding': encoding, 'content-type': type } = headers
--- a/test/commands/trace.test.ts
+++ b/test/commands/trace.test.ts
@@ -15,7 +15,7 @@
 const LOGS = {
   'edge-1.log': [
     { at: 0, part: 'fleet', message: 'a server changed', server: 'i-1', state: 'gone' },
-    { at: 250, level: 'warn', part: 'routing', message: 'gave a request up', request: 'r', cause: 'no server', tried: ['i-1'] },
+    { at: 250, level: 'warn', part: 'routing', message: 'abandoned a request', request: 'r', cause: 'no server', tried: ['i-1'] },
     'torn'
   ]
 }
@@ -24,7 +24,7 @@
   const { code, out } = await run('trace', 'r', '--logs', writeLogs(t, LOGS))
   t.is(code, 0)
   t.regex(out, /^request r; at edge-1; servers i-1\n/)
-  t.regex(out, /\. +\+0\.0 ms {2}edge-1 {2}fleet: a server changed {2}server=i-1 state=gone\n> +\+250\.0 ms {2}edge-1 {2}routing: gave a request up {2}request=r cause=no server .*\[by i-1 gone for 250 ms\]/)
+  t.regex(out, /\. +\+0\.0 ms {2}edge-1 {2}fleet: a server changed {2}server=i-1 state=gone\n> +\+250\.0 ms {2}edge-1 {2}routing: abandoned a request {2}request=r cause=no server .*\[by i-1 gone for 250 ms\]/)
   t.regex(out, /edge-1\.log: 1 broken line, the first at 3/)
 })
 
@@ -38,7 +38,7 @@
   t.deepEqual(events.map(({ place }: { place: string }) => place), ['edge-1.log:1', 'edge-1.log:2'])
   t.like(events[1], { kind: 'own', level: 'warn', fields: { cause: 'no server', tried: ['i-1'] }, inputs: { servers: [{ server: 'i-1', state: 'gone', age: 250 }] } })
   t.is(unread.length, 1)
-  t.regex(readFileSync(page, 'utf8'), /<title>request r<\/title>[^]*gave a request up/)
+  t.regex(readFileSync(page, 'utf8'), /<title>request r<\/title>[^]*abandoned a request/)
 })
 
 test('an id that no line has is told by its own exit code, with what could not be read', async t => {
@@ -61,7 +61,7 @@
   const page = await run('trace', 'r', '--logs', folder, '--html', join(folder, 'none', 'page.html'))
   t.is(page.code, 2)
   t.regex(page.err, /the page can't be written/)
-  t.regex(page.out, /gave a request up/)
+  t.regex(page.out, /abandoned a request/)
 })
 
 test('a folder that is missing from the words is asked for', async t => {
--- a/test/observe/read-trace.test.ts
+++ b/test/observe/read-trace.test.ts
@@ -14,7 +14,7 @@
 const taken = (at: number): object => ({ at, part: 'jobs', message: 'took a job over', job: 'j', from: '10.0.0.1:8326', age: 900, results: 0 })
 const started = (at: number, request: string): object => ({ at, part: 'jobs', message: 'started an item', request, job: 'j', server: 's1' })
 const ended = (at: number, request: string): object => ({ at, part: 'jobs', message: 'an item ended', request, job: 'j', result: 'completed' })
-const refused = (at: number, request: string): object => ({ at, level: 'warn', part: 'routing', message: 'gave a request up', request, cause: 'overloaded', tried: [] })
+const refused = (at: number, request: string): object => ({ at, level: 'warn', part: 'routing', message: 'abandoned a request', request, cause: 'overloaded', tried: [] })
 const answered = (at: number, request: string, server = 's1'): object => ({ at, part: 'routing', message: 'answered a request', request, server, tried: 0 })
 
 async function read (t: ExecutionContext, id: string, files: object): Promise<Trace> {
@@ -90,7 +90,7 @@
       { at: 0, part: 'fleet', message: 'a configuration is in force', version: 7, routes: 2 },
       { at: 1_000, part: 'fleet', message: 'a server changed', server: 's1', state: 'live' },
       { at: 2_000, level: 'warn', part: 'fleet', message: 'the store does not answer', kind: 'instances', error: 'unavailable' },
-      { at: 3_500, part: 'routing', message: 'a send came to nothing', request: 'r', server: 's1', why: 'cut' },
+      { at: 3_500, part: 'routing', message: 'a send failed', request: 'r', server: 's1', why: 'cut' },
       { at: 4_000, part: 'fleet', message: 'the store answers again', kind: 'instances', revision: 9 },
       { at: 4_100, part: 'kernel', message: 'starts' },
       answered(4_200, 'r')
@@ -109,7 +109,7 @@
     'a.log': [
       { at: 0, part: 'fleet', message: 'a configuration is in force', version: 7 },
       { at: 0, part: 'fleet', message: 'a server changed', server: 's1', state: 'live' },
-      { at: 5_000, part: 'routing', message: 'a send came to nothing', request: 'r', server: 's1', why: 'cut' }
+      { at: 5_000, part: 'routing', message: 'a send failed', request: 'r', server: 's1', why: 'cut' }
     ],
     'b.log': [
       { at: 3_000, part: 'fleet', message: 'a configuration is in force', version: 8 },
@@ -127,7 +127,7 @@
       { at: 10, part: 'fleet', message: 'a server changed', server: 's9', state: 'gone' },
       refused(1_000, 'too early'),
       refused(4_100, 'beside'),
-      { at: 4_200, part: 'routing', message: 'a send came to nothing', request: 'other', server: 's1', why: 'cut' },
+      { at: 4_200, part: 'routing', message: 'a send failed', request: 'other', server: 's1', why: 'cut' },
       answered(4_300, 'usual'), answered(4_310, 'usual 2'), answered(4_320, 'elsewhere', 's9'),
       answered(4_500, 'r')
     ],
@@ -135,8 +135,8 @@
   })
   t.deepEqual(trace.events.map(({ kind, what, request, server }) => [kind, what, request ?? server]), [
     ['belief', 'a server changed', 's1'],
-    ['failure', 'gave a request up', 'beside'],
-    ['other', 'a send came to nothing', 'other'],
+    ['failure', 'abandoned a request', 'beside'],
+    ['other', 'a send failed', 'other'],
     ['own', 'answered a request', 'r']
   ])
   t.deepEqual(trace.counted, [{ instance: 'a', what: 'routing: answered a request', server: 's1', count: 2 }])
@@ -149,7 +149,7 @@
   t.true(failures.some(({ request }) => request === 'y'))
   t.true(failures.length > 1)
   t.is(trace.counted.length, 1)
-  t.is(trace.counted[0]!.what, 'routing: gave a request up (overloaded)')
+  t.is(trace.counted[0]!.what, 'routing: abandoned a request (overloaded)')
   t.is(failures.length + trace.counted[0]!.count, 21)
 })
 
@@ -169,7 +169,7 @@
     'b.log': [{ at: 15, level: 'warn', part: 'quarantine', message: 'a server was lost with requests in flight', server: 's1', suspects: 2 }]
   })
   t.is(trace.type, 'server')
-  t.deepEqual(listOwn(trace), ['a a server changed', 'b a server was lost with requests in flight', 'a gave a request up q'])
+  t.deepEqual(listOwn(trace), ['a a server changed', 'b a server was lost with requests in flight', 'a abandoned a request q'])
   t.is(trace.counted[0]!.count, 1)
 })
 
@@ -177,11 +177,11 @@
   const folder = writeLogs(t, {
     'a.log': ['{"torn', answered(0, 'r') as Readonly<Record<string, unknown>>, '{"request":"r","message":"cut sho', ''],
     'notes.txt': ['some words', '{"a":1}'],
-    'sub/b.log': ['Jan 24 08:00:00 host app[7]: ' + JSON.stringify({ timestamp: '2026-01-24T08:00:00.100Z', instance: 'b', level: 'warn', part: 'routing', message: 'gave a request up', request: 'r' })]
+    'sub/b.log': ['Jan 24 08:00:00 host app[7]: ' + JSON.stringify({ timestamp: '2026-01-24T08:00:00.100Z', instance: 'b', level: 'warn', part: 'routing', message: 'abandoned a request', request: 'r' })]
   })
   symlinkSync(join(folder, 'nowhere'), join(folder, 'link.log'))
   const trace = (await readTrace({ folder, id: 'r' })).unwrap()
-  t.deepEqual(listOwn(trace), ['a answered a request r', 'b gave a request up r'])
+  t.deepEqual(listOwn(trace), ['a answered a request r', 'b abandoned a request r'])
   const unread = new Map(trace.unread.map(one => [one.file, one]))
   t.deepEqual(unread.get('a.log'), { type: 'broken', file: 'a.log', count: 2, first: 1, withId: [{ number: 3, text: '{"request":"r","message":"cut sho' }] })
   t.deepEqual(unread.get('notes.txt'), { type: 'no log', file: 'notes.txt' })
--- a/test/routing/choose-server.test.ts
+++ b/test/routing/choose-server.test.ts
@@ -23,7 +23,7 @@
   return !leaving && inFlight < Math.min(limit, highest)
 }
 
-test('no leaving, excluded or full server is ever chosen, and one is chosen whenever one is open', t => {
+test('never chooses a leaving, excluded or full server, and chooses one whenever one is open', t => {
   t.notThrows(() => fc.assert(fc.property(servers, fc.nat(10), fc.option(fc.string(), { nil: undefined }), fc.subarray(['a', 'b']), (all, limit, key, excluded) => {
     const open = all.filter(each => isOpen(each, limit) && !excluded.includes(each.name))
     const chosen = chooseServer(all, { random: new Random(1), limit, key, excluded })
@@ -31,14 +31,14 @@
   }), { seed: 7, numRuns: 1_000 }))
 })
 
-test('a failure domain that failed is left alone while another is open', t => {
+test('avoids a failure domain while a server in another one is open', t => {
   t.notThrows(() => fc.assert(fc.property(servers, all => {
     const chosen = chooseServer(all, { random: new Random(1), limit: 10, avoided: ['x'] })
     return chosen?.failureDomain !== 'x' || all.every(each => each.failureDomain === 'x' || !isOpen(each, 10))
   }), { seed: 7, numRuns: 500 }))
 })
 
-test('affinity finds cached prefixes far more often than two choices, at a bounded load', t => {
+test('affinity hits cached prefixes far more often than two random choices, at a bounded load', t => {
   const [choices, affinity, unbounded] = (['two choices', 'affinity', 'affinity without bound'] as const).map(policy => simulateChoice({ policy, requests: 8_000 }))
   t.log({ choices, affinity, unbounded })
   t.true(affinity!.hits > choices!.hits + 0.1)
@@ -46,15 +46,14 @@
   t.true(affinity!.unevenness < unbounded!.unevenness - 0.2)
 })
 
-test('daemons that know nothing of one another keep to the limit, and one alone has all of it', t => {
+test('daemons that know nothing of each other keep to the limit, and a single one may use all of it', t => {
   t.notThrows(() => fc.assert(fc.property(fc.integer({ min: 1, max: 64 }), fc.integer({ min: 1, max: 400 }), (limit, daemons) => {
     return planDaemonLimit({ limit, others: undefined, daemons }) * daemons < limit + daemons && planDaemonLimit({ limit, others: 0, daemons }) === limit
   }), { seed: 7, numRuns: 500 }))
 })
 
-// A server answers nothing for a while. Its requests fail one after the other, each a send that another server could
-// have had; then it comes back, and must not stay out.
-test('a server is ejected after three failures, probed, and back after one answer', t => {
+// Guards against sending to a server that doesn't answer, and against keeping it ejected after it has recovered.
+test('a server is ejected after three failures, probed, and in use again after one answer', t => {
   const fail = (health: ReturnType<typeof stepServerHealth>, now: number): ReturnType<typeof stepServerHealth> => stepServerHealth(health, 'failed', now)
   const two = fail(fail(undefined, 0), 0)
   t.is(two?.ejectedUntil, 0)
--- a/test/routing/dispatcher.test.ts
+++ b/test/routing/dispatcher.test.ts
@@ -15,7 +15,7 @@
   socket.end()
 }
 
-/** A body that ends where the connection does. */
+/** Answers with a body that ends with the connection. */
 function answerOpenEnded (body: string): (socket: Socket) => void {
   return socket => { socket.end(`HTTP/1.1 200 OK\r\ncontent-type: application/json\r\nconnection: close\r\n\r\n${body}`) }
 }
@@ -39,30 +39,28 @@
   return Buffer.concat(parts).toString()
 }
 
-/** All that was sent but for probes, which say whether the server is there and run nothing: they name none of its resources. */
+/** Counts the requests that the servers ran, without probes. */
 function countRuns (servers: readonly RawServer[]): number {
   return servers.reduce((sum, { requests }) => sum + requests.filter(({ text }) => !text.startsWith('OPTIONS * HTTP/1.1\r\n')).length, 0)
 }
 
-// The server's connection breaks in the middle of a body. The caller either gets the whole body of another run, or
-// hears that the outcome isn't known; half a body under a status of 200 would pass for the answer.
+// Guards against relaying a cut body with status 200 as if it were complete.
 for (const [name, cut] of [['with a length', answerCut], ['that ends with its connection', answerOpenEnded('{"text":"wh')]] as const) {
-  test(`a cut body ${name} is asked for again where the request is idempotent`, async t => {
+  test(`an idempotent request is retried after a cut body ${name}`, async t => {
     let cuts = 0
     const { bench, servers } = await start(t, ...[0, 1].map(() => (socket: Socket) => cuts++ === 0 ? cut(socket) : answerWith(WHOLE)(socket)))
     t.is(await ask(bench), WHOLE)
     t.is(countRuns(servers), 2)
   })
 
-  test(`a cut body ${name} leaves a request that may not be repeated unknown`, async t => {
+  test(`the outcome of a non-idempotent request is unknown after a cut body ${name}`, async t => {
     const { bench, servers } = await start(t, cut, cut)
     t.is(await ask(bench, { idempotent: false }), 'server failed, unknown')
     t.is(countRuns(servers), 1)
   })
 }
 
-// Nothing listens at any server's port. No byte can have left, so that even a request that may not be repeated is
-// tried elsewhere and, when it is given up, is truly said not to have run.
+// Guards against an unknown outcome for a request of which no byte can have been sent.
 test('a request that reached no server is not run', async t => {
   const { bench, servers } = await start(t, answerWith(WHOLE), answerWith(WHOLE))
   for (const server of servers) server.close()
@@ -76,17 +74,15 @@
   t.is(countRuns(servers), 6)
 })
 
-// The server takes the request and its connection breaks without a byte of answer. By the error alone this looks
-// like a failed connect; the request may have run, and saying "not run" would make its caller repeat it.
-test('a request whose connection broke after it was sent is unknown', async t => {
+// Guards against `not run` for a request that may have run: the error looks like that of a failed connection.
+test('the outcome of a request whose connection broke after it was sent is unknown', async t => {
   const { bench, servers } = await start(t, socket => socket.destroy(), socket => socket.destroy())
   t.is(await ask(bench, { idempotent: false }), 'server failed, unknown')
   t.is(countRuns(servers), 1)
 })
 
-// A caller goes away while its answer is late. If its connection went back to the pool, the late answer would be
-// read as the answer to the next request on it: another caller's.
-test('an abandoned exchange takes its connection with it', async t => {
+// Guards against a late answer that is read as the answer to another caller's request on the same connection.
+test('the connection of an abandoned exchange is not reused', async t => {
   const late: Socket[] = []
   const { bench, servers } = await start(t, (socket, text) => text.includes('late') ? late.push(socket) : answerWith(WHOLE)(socket))
   const gone = new AbortController()
@@ -99,8 +95,7 @@
   t.true(servers[0]!.requests.filter(({ text }) => !text.includes('late')).every(({ connection }) => connection > 0))
 })
 
-// Something between the two ends forgets an idle connection: what is sent on it vanishes without an error. The
-// server would keep it for a minute, so only our own bound keeps the next request off it.
+// Guards against sending on an idle connection that a middlebox has dropped without notice.
 test('an idle connection is closed after half a second, whatever the server offers', async t => {
   const { bench, servers } = await start(t, socket => { socket.write('HTTP/1.1 200 OK\r\nconnection: keep-alive\r\nkeep-alive: timeout=60\r\ncontent-length: 2\r\n\r\n{}') })
   t.is(await ask(bench), '{}')
@@ -109,9 +104,8 @@
   t.true(Date.now() - begin < 2_500)
 })
 
-// The first server accepts the connection and the request, and is then silent. The request may be repeated, so half
-// of its time is left for the second server; without that the caller would wait out its deadline.
-test('a silent server leaves an idempotent request time for another one', async t => {
+// Guards against waiting for an unresponsive server until the deadline.
+test('an idempotent request is sent to another server in time if the first is unresponsive', async t => {
   let asked = 0
   const answer = (socket: Socket): void => { if (asked++ > 0) answerWith(WHOLE)(socket) }
   const { bench } = await start(t, answer, answer)
--- a/test/routing/event-stream.test.ts
+++ b/test/routing/event-stream.test.ts
@@ -6,7 +6,7 @@
 
 const stream = Buffer.concat([Buffer.from('id: 1\ndata: a\n\nx-versions: 3\nid: 2\ndata: b\ndata: c\n\nid: 3\r\ndata: \u00e9'), Buffer.from([0xff, 0x80]), Buffer.from('\r\n\r\n: ping\n\nid: 4\nda')])
 
-test('however a stream is split, its events come out whole and unchanged, and a broken one not at all', t => {
+test('events are complete and unchanged however the stream is split, and an incomplete one is held back', t => {
   fc.assert(fc.property(fc.array(fc.integer({ min: 1, max: stream.length })), cuts => {
     const places = [0, ...[...new Set(cuts)].sort((a, b) => a - b), stream.length]
     const splitter = new SseSplitter()
@@ -17,8 +17,7 @@
   t.pass()
 })
 
-// A server breaks off in the middle of an event and another one goes on behind the last whole one. Joined anywhere else,
-// the caller would see an event twice, or one too few, in an answer that ends as whole.
+// Guards against a missing or repeated event where another server continues a stream.
 const steps: ReadonlyArray<readonly [number | undefined, number | undefined, ReturnType<typeof stepEventProgress>['type']]> = [
   [undefined, 1, 'relay'], [undefined, 5, 'relay'], [4, 5, 'relay'], [4, 4, 'known'], [4, 1, 'known'], [4, 6, 'gap'], [4, undefined, 'relay']
 ]
@@ -30,15 +29,15 @@
 const failure = { why: 'cut', sent: true, detail: '' } as const
 const state = { idempotent: false, resumable: false, begun: false, runs: 1, attempts: 2, sends: 1, gone: false }
 const plans: ReadonlyArray<readonly [string, Partial<typeof failure> | { sent: false }, Partial<typeof state>, 'send' | 'give up']> = [
-  ['never sent: any other server may take it', { sent: false }, { runs: 0 }, 'send'],
-  ['never sent now, but it may have run before', { sent: false }, { runs: 1 }, 'give up'],
-  ['it may have run and may not be repeated', {}, {}, 'give up'],
-  ['it may be repeated on one more server', {}, { idempotent: true }, 'send'],
-  ['as many servers as the route allows have run it', {}, { idempotent: true, runs: 2 }, 'give up'],
+  ['not sent: any other server may run it', { sent: false }, { runs: 0 }, 'send'],
+  ['not sent now, but it may have run before', { sent: false }, { runs: 1 }, 'give up'],
+  ['it may have run and is not idempotent', {}, {}, 'give up'],
+  ['it is idempotent and may run on one more server', {}, { idempotent: true }, 'send'],
+  ['it has run as often as the route allows', {}, { idempotent: true, runs: 2 }, 'give up'],
   ['a begun stream that can be resumed', {}, { idempotent: true, resumable: true, begun: true }, 'send'],
-  ['a begun stream that can not', {}, { idempotent: true, begun: true }, 'give up'],
+  ['a begun stream that can not be resumed', {}, { idempotent: true, begun: true }, 'give up'],
   ['its caller has left', { sent: false }, { runs: 0, gone: true }, 'give up'],
-  ['one full server after the other', { sent: false }, { runs: 0, sends: 6 }, 'give up']
+  ['the limit of sends is reached', { sent: false }, { runs: 0, sends: 6 }, 'give up']
 ]
 
 for (const [name, why, change, plan] of plans) {
--- a/test/routing/kept-connection.test.ts
+++ b/test/routing/kept-connection.test.ts
@@ -12,12 +12,12 @@
 const UNKNOWN = 'server failed, unknown'
 const ANSWER = `HTTP/1.1 200 OK\r\ncontent-length: ${WHOLE.length}\r\n\r\n${WHOLE}`
 const CLOSING = `HTTP/1.1 200 OK\r\nconnection: close\r\ncontent-length: ${WHOLE.length}\r\n\r\n${WHOLE}`
-/** How long a server leaves a body unread, ms. */
+/** Time for which a server leaves a body unread, ms. */
 const UNREAD = 150
-/** For bytes to arrive at the other end, ms. */
+/** Time for bytes to arrive at the other end, ms. */
 const ARRIVAL = 20
 
-/** What a server does with the long request once it has read its head; `leave` makes the request's caller go. */
+/** How a server treats the long request once it has read its headers; `leave` aborts it as its caller would. */
 interface Case {
   readonly name: string
   readonly answer: (request: StrictRequest, leave: () => void) => void
@@ -26,13 +26,13 @@
   readonly reused?: boolean
 }
 
-/** Leaves what comes in unread for a while. */
+/** Stops reading from the socket for a while. */
 function pauseReading (socket: Socket): void {
   socket.pause()
   setTimeout(() => socket.resume(), UNREAD)
 }
 
-/** Answers with all but the last byte; `then` runs when those have had time to arrive. */
+/** Answers with all but the last byte; `then` runs after they have had time to arrive. */
 function answerInPart (socket: Socket, then: () => void): void {
   socket.write(ANSWER.slice(0, -1), () => setTimeout(then, ARRIVAL))
 }
@@ -107,9 +107,9 @@
   return { bench, server }
 }
 
-// A server that meets other bytes where a request line or the rest of a body is due refuses them, or takes them for a request.
+// Guards against a connection that is reused while the rest of a body or an answer is still due on it.
 for (const { name, answer, outcome, reused = false } of cases) {
-  test(`requests behind one that was ${name} are read as they were sent`, async t => {
+  test(`requests after one that was ${name} arrive as they were sent`, async t => {
     const caller = new AbortController()
     const { bench, server } = await start(t, request => answer(request, () => caller.abort()))
     t.is(await ask(bench, LONG, 'l', caller.signal), outcome)
@@ -119,8 +119,8 @@
   })
 }
 
-// A server ends with a body unread on a kept connection, and another one listens at its address before the next request.
-test('requests to another server at the same address are read as they were sent', async t => {
+// A server exits with a body unread, and another one listens at its address before the next request.
+test('requests to another server at the same address arrive as they were sent', async t => {
   const { bench, server } = await start(t, ({ socket }) => {
     socket.write(ANSWER)
     pauseReading(socket)
@@ -135,8 +135,8 @@
   t.deepEqual([...server.violations, ...next.violations], [])
 })
 
-// A stand-in that takes whatever comes would let the tests above pass.
-test('the stand-in tells a cut body and a malformed request line', async t => {
+// Guards against a stand-in that accepts malformed input, with which the tests above would always pass.
+test('the stand-in detects a cut body and a malformed request line', async t => {
   const server = await StrictServer.start(answerWhole)
   t.teardown(async () => await server.close())
   const head = (length: number): string => `POST / HTTP/1.1\r\nx-fill: l\r\ncontent-length: ${length}\r\n\r\n`
--- a/test/routing/lost-accusation.test.ts
+++ b/test/routing/lost-accusation.test.ts
@@ -10,7 +10,7 @@
 import { VirtualClock } from '../helpers/virtual-clock.js'
 
 const NAMES = ['d0', 'd1']
-/** Longer than a link that has gone silent takes to be replaced, ms. */
+/** Longer than an unresponsive link takes to be replaced, ms. */
 const LATER = 4_000
 
 function createDaemons (isLost: (message: PeerMessage, sent: number) => boolean): { readonly clock: VirtualClock, readonly daemons: readonly Quarantine[], readonly countSent: () => number } {
@@ -30,8 +30,8 @@
   return { clock, daemons, countSent: () => sent }
 }
 
-// Guards against a request that ends one server more for each daemon that lost the one message of an earlier loss.
-test('a daemon that loses the word of a lost server has it soon after', async t => {
+// Guards against a request that crashes one more server for each daemon that missed the accusation.
+test('a daemon that missed an accusation receives it soon after', async t => {
   const { clock, daemons: [first, second] } = createDaemons((_message, sent) => sent === 1)
   first!.begin('f', 's1')
   first!.onServerLost('s1')
@@ -40,8 +40,8 @@
   t.is(second!.check('f'), 'suspect')
 })
 
-// Guards against a loss that is counted twice, and against words that go on for good.
-test('the word of a lost server is repeated twice, counts once, and ends when the request is cleared', async t => {
+// Guards against a loss that is counted twice, and against accusations that are resent forever.
+test('an accusation is resent twice, counts once, and is no longer sent when the request is cleared', async t => {
   const { clock, daemons: [first, second], countSent } = createDaemons(() => false)
   first!.begin('f', 's1')
   first!.onServerLost('s1')
--- a/test/routing/model-stream.test.ts
+++ b/test/routing/model-stream.test.ts
@@ -11,7 +11,7 @@
   for (const url of urls) await (await request(`${url}/control/faults`, { method: 'POST', body: JSON.stringify(faults) })).body.dump()
 }
 
-/** Asks for a stream of `TOKENS` tokens; gives back its text, its last event and why it failed, if it did. */
+/** Requests a stream of `TOKENS` tokens and returns its text, its last event, its failure and the tokens counted. */
 async function readStream (bench: DispatchBench, prompt = PROMPT): Promise<{ readonly text: string, readonly last: string, readonly failure?: string, readonly counted: number }> {
   const answer = (await bench.dispatcher.send(bench.request(prompt, { stream: true, tokens: TOKENS }))).unwrap()
   const reader = new SseReader()
@@ -22,11 +22,9 @@
   return { text, last: events.at(-1) ?? '', failure: answer.findFailure?.(), counted: answer.countTokens!() }
 }
 
-// The caller reads a stream whose server goes away, or says nothing more, after some tokens. The rest has to come
-// from another server and begin at the very next token: a restart would repeat what the caller has already shown,
-// and with an engine that samples would go on in other words.
+// Guards against repeated or changed text where a server is lost or stops sending in the middle of a stream.
 for (const fault of [{ cutAfter: 0 }, { cutAfter: 3 }, { cutAfter: TOKENS - 1 }, { silenceAfter: 0 }, { silenceAfter: 3 }]) {
-  test(`a stream goes on at another server from the next token: ${JSON.stringify(fault)}`, async t => {
+  test(`a stream continues at another server from the next token: ${JSON.stringify(fault)}`, async t => {
     const { bench, urls, stop } = await DispatchBench.start(2)
     t.teardown(stop)
     const whole = answerWords(PROMPT, TOKENS).join(' ')
@@ -42,9 +40,8 @@
   })
 }
 
-// Every server cuts after two tokens, so that the budget or the attempts run out in mid-answer. A reader that waits
-// for the end of the body only would take what it has for the answer; the last event has to say that it isn't.
-test('a stream that is given up ends with an error event and without [DONE]', async t => {
+// Guards against an incomplete stream that ends like a complete one.
+test('an abandoned stream ends with an error event and without [DONE]', async t => {
   const { bench, urls, stop } = await DispatchBench.start(2)
   t.teardown(stop)
   await setFaults(urls, { cutAfter: 2 })
@@ -55,8 +52,8 @@
   t.is(JSON.parse(last).ran, 'unknown')
 })
 
-// The engines of this model can't go on from given tokens. Starting anew would repeat or reword what was relayed.
-test('a stream that is cut is never restarted where its engines cannot resume', async t => {
+// Guards against repeated or changed text where the engines can't continue from given tokens.
+test('a cut stream is not restarted if its engines cannot resume it', async t => {
   const { bench, urls, stop } = await DispatchBench.start(2, { resume: false })
   t.teardown(stop)
   await setFaults(urls, { cutAfter: 3 })
@@ -65,8 +62,8 @@
   t.regex(last, /can't resume/)
 })
 
-// Before its first token nothing has been shown, so any engine may start it anew.
-test('a stream that was cut before its first token starts anew where engines cannot resume', async t => {
+// Nothing was relayed before the first token, so any engine may start the answer again.
+test('a stream cut before its first token is restarted even if its engines cannot resume it', async t => {
   const { bench, urls, stop } = await DispatchBench.start(2, { resume: false })
   t.teardown(stop)
   for (const faulty of urls) {
@@ -76,8 +73,7 @@
   }
 })
 
-// The second server counts only the tokens that it gave itself. A caller that pays by the usage of the last event
-// has to see the tokens of both.
+// Guards against usage that counts the tokens of the last server only.
 test('the usage of a resumed stream counts the tokens of every server', async t => {
   const { bench, urls, stop } = await DispatchBench.start(2)
   t.teardown(stop)
--- a/test/routing/paced-socket.test.ts
+++ b/test/routing/paced-socket.test.ts
@@ -10,7 +10,7 @@
 const EVENTS = 40
 const EVENT_PERIOD = 10
 
-/** A server that sends an event every 10 ms, and a client of it that reads at most once in `period` ms. */
+/** Counts the reads of a stream with an event every 10 ms, by a client that reads at most once per `period` ms if given. */
 async function countReads (period: number | undefined): Promise<{ readonly reads: number, readonly text: string }> {
   const clock = new SystemClock()
   const server = createServer((_req, res) => {
@@ -41,9 +41,8 @@
   }
 }
 
-// Nobody waits for the single events of a batch item; each read of one wakes the daemon, which cost more than the rest of
-// the item's run. Read a few times a second, the events come whole and in order, many at a time.
-test('an answer on a paced connection comes whole in a few reads', async t => {
+// Guards against waking the daemon for each event of a batch item, and against lost or reordered events.
+test('an answer on a paced connection is complete after a few reads', async t => {
   const whole = Array.from({ length: EVENTS }, (_, i) => `id: ${i}\ndata: event\n\n`).join('')
   const paused = await countReads(200)
   const plain = await countReads(undefined)
--- a/test/routing/path-unchanged.test.ts
+++ b/test/routing/path-unchanged.test.ts
@@ -7,7 +7,7 @@
 
 const paths = ['/a/../b', '/a/./b', '/a//b/', '/%2e%2e/b', '/a?x=../y&z=%20', "/a'b?q='", '/a|b', '/a?', '/a;b=c/[1]', '/%7Ea']
 
-// Guards against a server that runs another request than its caller sent, because the path was normalized on the way.
+// Guards against path normalization, which would make the server run another request than the caller sent.
 for (const path of paths) {
   test(`a path reaches its server as it was sent: ${path}`, async t => {
     const server = await StrictServer.start(({ socket }) => { socket.write('HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n') })
--- a/test/routing/plan-retry.test.ts
+++ b/test/routing/plan-retry.test.ts
@@ -27,9 +27,8 @@
   }
 }
 
-// Servers fail in every way at once and for long. Without the budget, sends grow by the attempts of each request just
-// when the servers that are left can take the least.
-test('sends are at most requests, the share of successes and the initial budget, whatever fails', t => {
+// Guards against retries that multiply the load while servers fail.
+test('sends never exceed requests, the share of successes and the initial budget', t => {
   t.notThrows(() => fc.assert(fc.property(fc.array(request, { maxLength: 300, minLength: 100 }), requests => {
     const budget = new RetryBudget({ share: SHARE, initial: INITIAL })
     const all = requests.map(each => run(each, budget))
@@ -39,11 +38,11 @@
   }), { seed: 7, numRuns: 200 }))
 })
 
-test('a request that may not be repeated never runs twice', t => {
+test('a non-idempotent request never runs twice', t => {
   t.notThrows(() => fc.assert(fc.property(request, each => each.idempotent || run(each, new RetryBudget()).runs <= 1), { seed: 7, numRuns: 1_000 }))
 })
 
-test('nothing is sent again past the deadline', t => {
+test('nothing is sent again after the deadline', t => {
   const plan = planRetry({ idempotent: true, attempts: 1, sent: true, deadline: 5 }, { why: 'cut', sent: true, detail: '' }, { now: 5, takeRetry: () => true })
   t.deepEqual(plan, { type: 'give up', cause: 'deadline', detail: 'its deadline passed' })
 })
--- a/test/routing/quarantine.test.ts
+++ b/test/routing/quarantine.test.ts
@@ -26,10 +26,9 @@
   return { fleet, ended, callers: fleet.daemons.map(daemon => new CallerClient(fleet.url(daemon), 'quay-desk-token')) }
 }
 
-// A prompt ends each engine that runs it. Its caller sends it through every daemon at once and again, while others
-// have long answers under way. Everything in flight at the first engine to end is suspect, the others' too; without
-// trials the copies would end one engine each, and without quarantine each further send one more.
-test('a request that crashes servers ends two of them at most, and those beside it complete', async t => {
+// A caller sends a crashing prompt through every daemon at once and again, beside other requests. Guards against copies that
+// crash one engine each, and against the quarantine of requests that were in flight beside them.
+test('a crashing request costs at most two servers, and the requests beside it complete', async t => {
   const { fleet, callers, ended } = await startFleet()
   t.teardown(async () => await fleet.stop())
   const prompts = Array.from({ length: 12 }, (_, i) => `Draft ${i}`)
--- a/test/routing/retry-storm.test.ts
+++ b/test/routing/retry-storm.test.ts
@@ -13,16 +13,14 @@
 const ROUNDS = 12
 const TOKENS = 8
 const KILL_AFTER = 150
-/** Far more than any caller needs: who asks that often is refused for good. */
+/** Attempts after which the test fails; far more than any caller needs. */
 const MAX_ATTEMPTS = 2_000
 
 interface Ask { readonly id: string, readonly status: number, readonly ran?: string, readonly retryAfter?: string }
 
-// Every place is taken when half the engines are killed. What was in flight there is sent again, and callers who are
-// refused ask again. Were each failure repeated freely, the engines that are left would get several sends a request
-// and time out on them; here all sends stay within the budget, whoever is refused as not run is in no engine's log,
-// and every caller has its whole answer in the end.
-test('half the engines die under full load: sends stay within 1.2 a request and every answer comes', async t => {
+// Guards against a retry storm at the engines that are left when half of them are killed under full load, against `not run`
+// for a request that an engine ran, and against requests that are never answered.
+test('when half the engines are killed under full load, runs stay within 1.2 per request and every request is answered', async t => {
   const folder = mkdtempSync(join(tmpdir(), 'runs-'))
   const fleet = await Fleet.start()
   t.teardown(async () => {
--- a/test/routing/silent-server.test.ts
+++ b/test/routing/silent-server.test.ts
@@ -7,10 +7,9 @@
 const PROMPT = 'When is high tide?'
 const TOKENS = 100
 
-// An engine stands still with a stream and a whole answer under way, its connections open. The stream's reader sees
-// tokens stop, the other one sees nothing. Both have to get their whole answer from the other engine, long before
-// their deadline of a minute; a request that may be repeated must not wait for a process that may never go on.
-test('a stream and a whole answer of an engine that stands still come from another one', async t => {
+// An engine is paused with its connections open. Guards against a stream or a complete answer that waits for it until the
+// deadline.
+test('another engine completes the stream and the answer of a paused engine', async t => {
   const fleet = await Fleet.start()
   t.teardown(async () => await fleet.stop())
   const [first, second] = await Promise.all([
--- a/test/routing/step-progress.test.ts
+++ b/test/routing/step-progress.test.ts
@@ -10,7 +10,7 @@
   return `data: ${JSON.stringify({ id, choices: [{ index: 0, delta, finish_reason: finish }] })}\n\n`
 }
 
-/** What a server that starts after `given` tokens writes. */
+/** Formats the answer of a server that starts after `given` tokens. */
 function showAnswer (id: string, words: readonly string[], given: number): string {
   const chunks = words.slice(given).map((word, i) => showChunk(id, { content: word }, given + i === words.length - 1 ? 'stop' : null))
   return [showChunk(id, { role: 'assistant', content: '' }), ...chunks, 'data: [DONE]\n\n'].join('')
@@ -23,7 +23,7 @@
   return { ids: new Set(chunks.map(({ id }) => id)), words: deltas.map(({ content }) => content).filter(Boolean), roles: deltas.filter(({ role }) => role !== undefined).length, done: events.length - chunks.length }
 }
 
-test('the same events come out however the bytes are split', t => {
+test('the events are the same however the bytes are split', t => {
   const text = showAnswer('a', ['tide ', 'ähre ', '潮'], 0)
   const whole = new SseReader().push(Buffer.from(text)).map(({ raw }) => raw)
   t.is(whole.join(''), text)
@@ -36,7 +36,7 @@
   }), { seed: 7, numRuns: 300 }))
 })
 
-// Servers are cut again and again, at any byte. The caller sees each token once, one role, one id, one end.
+// Guards against repeated tokens, roles, ids or ends in an answer that several servers continue.
 test('an answer cut at any byte of any server and resumed is relayed once', t => {
   const words = ['one ', 'two ', 'three ', 'four ', 'five']
   t.notThrows(() => fc.assert(fc.property(fc.array(fc.double({ min: 0, max: 1, noNaN: true }), { maxLength: 6 }), cuts => {
--- a/test/routing/step-quarantine.test.ts
+++ b/test/routing/step-quarantine.test.ts
@@ -15,7 +15,7 @@
   return state.suspects.get(fingerprint)?.losses.length ?? 0
 }
 
-test('all in flight at the lost server are held, nobody elsewhere', t => {
+test('exactly the requests in flight at the lost server become suspect', t => {
   const state = run([
     { type: 'began', exchange: 0, fingerprint: 'poison', server: 'a' },
     { type: 'began', exchange: 1, fingerprint: 'bystander', server: 'a' },
@@ -27,14 +27,14 @@
   t.deepEqual([...state.suspects.keys()], ['poison', 'bystander'])
 })
 
-test('one loss told by several daemons counts once, a later loss of the restarted server again', t => {
+test('a loss reported by several daemons counts once, and a later loss of the restarted server again', t => {
   const accusation: QuarantineEvent = { type: 'accused', fingerprints: ['poison'], server: 'a' }
   const once = run([accusation, accusation, accusation])
   t.is(countLosses(once, 'poison'), 1)
   t.is(countLosses(stepQuarantine(once, accusation, { now: 6_000, keep: KEEP }).state, 'poison'), 2)
 })
 
-test('daemons that hear of the same losses in any order hold the same against each fingerprint', t => {
+test('daemons that receive the same losses in any order agree on each fingerprint', t => {
   const loss = fc.record({
     type: fc.constant('accused' as const),
     fingerprints: fc.uniqueArray(fc.constantFrom('p', 'q', 'r'), { minLength: 1 }),
@@ -46,9 +46,8 @@
   }), { seed: 7, numRuns: 300 }))
 })
 
-// A server has ended, which this daemon doesn't know yet. A request goes out to it: its connection is refused, or takes
-// what is written and breaks. Blamed for that end, an innocent suspect would be quarantined.
-test('what had no byte there, or began after the first word of the loss, has no part in it', t => {
+// Guards against the quarantine of a suspect that was sent to a server which had already exited.
+test('an exchange is not accused if none of its bytes was sent or it began after the loss was detected', t => {
   const began = run([{ type: 'began', exchange: 0, fingerprint: 'refused', server: 'a' }, { type: 'began', exchange: 1, fingerprint: 'poison', server: 'a' }])
   const lost = stepQuarantine(began, { type: 'lost', server: 'a', unsent: new Set([0]) }, { now: 10, keep: KEEP })
   t.deepEqual(lost.accused, ['poison'])
@@ -56,14 +55,13 @@
   t.deepEqual(stepQuarantine(late.state, { type: 'lost', server: 'a' }, { now: 12, keep: KEEP }).accused, ['refused'])
 })
 
-test('word of a loss that comes seconds late counts as the loss that is known', t => {
+test('a loss reported seconds later counts as the same loss', t => {
   const known = run([{ type: 'accused', fingerprints: ['p'], server: 'a' }])
   t.is(countLosses(stepQuarantine(known, { type: 'accused', fingerprints: ['p'], server: 'a', ago: 7_000 }, { now: 7_500, keep: KEEP }).state, 'p'), 1)
 })
 
-// A request crashes one server, passes its trial, crashes another, and so on: cleared by one pass each time, it would
-// end servers without end.
-test('one pass clears a suspect, four when it was cleared before, and a loss between them is its second', t => {
+// Guards against a request that alternately crashes a server and is cleared by its trial.
+test('one pass clears a suspect, four if it was cleared before, and a loss before the fourth is its second', t => {
   const lost = (state: QuarantineState, server: string, now: number): QuarantineState => stepQuarantine(state, { type: 'accused', fingerprints: ['p'], server }, { now, keep: KEEP }).state
   const pass = (state: QuarantineState, times: number): QuarantineState => Array.from({ length: times }).reduce<QuarantineState>(next => stepQuarantine(next, { type: 'passed', fingerprint: 'p' }, { now: 2, keep: KEEP }).state, state)
   const again = lost(pass(lost(EMPTY, 'a', 0), 1), 'b', 1)
--- a/test/routing/step-trials.test.ts
+++ b/test/routing/step-trials.test.ts
@@ -20,7 +20,7 @@
   )
 })
 
-test('in any order of asks no two suspects share a server and no fingerprint runs twice', t => {
+test('in any order of asks, no two suspects share a server and no fingerprint runs twice', t => {
   t.notThrows(() => fc.assert(fc.property(fc.array(timed, { maxLength: 60 }), steps => {
     let state = EMPTY
     let now = 0
@@ -35,8 +35,8 @@
   }), { seed: 7, numRuns: 500 }))
 })
 
-// A daemon that asked goes away: without a lapse, its trial would hold a server and its copies for good.
-test('a trial that is no longer asked for lapses, and the next copy is let go', t => {
+// Guards against a trial that blocks a server forever after its daemon has exited.
+test('a trial whose ask is no longer repeated expires, and the next copy is granted one', t => {
   const ask = (id: string): TrialsEvent => ({ type: 'ask', id, fingerprint: 'f', servers: SERVERS })
   const begun = [0, 100].reduce((state, now) => stepTrials(state, ask('1'), now).state, EMPTY)
   t.deepEqual([...begun.running.keys()], ['1'])
@@ -45,7 +45,7 @@
   t.deepEqual(stepTrials(waited, ask('2'), 1_700).grants.map(({ id }) => id), ['2'])
 })
 
-test('no trial is given at a server where another suspect is still in flight', t => {
+test('no trial is granted at a server where another suspect is still in flight', t => {
   const held = stepTrials(EMPTY, { type: 'hold', id: 'hold', fingerprint: 'g', server: 'x' }, 0).state
   const ask: TrialsEvent = { type: 'ask', id: '1', fingerprint: 'f', servers: ['x'] }
   const asked = stepTrials(stepTrials(held, ask, 0).state, ask, 100)
@@ -53,9 +53,8 @@
   t.deepEqual(stepTrials(asked.state, { type: 'done', id: 'hold' }, 200).grants, [{ id: '1', server: 'x' }])
 })
 
-// A daemon has a copy of the suspect in flight, and its word of it is late. Were a trial given out meanwhile, the copy
-// and the trial could end a server each, with the first loss three in all.
-test('no trial is given before every daemon has told what it has in flight, a doubted one for a second, others for five', t => {
+// Guards against a trial beside a copy that another daemon hasn't reported yet: each could crash a server.
+test('a trial waits until every daemon has reported, at most one second for suspected daemons and five for others', t => {
   const daemons = ['a', 'b']
   const ask: TrialsEvent = { type: 'ask', id: '1', fingerprint: 'f', servers: SERVERS }
   const ready = (daemon: string): TrialsEvent => ({ type: 'ready', daemon, fingerprints: ['f'] })
@@ -79,9 +78,8 @@
   t.is(run([ask, 0], [ready('a'), 10], [{ type: 'hold', id: 'h', fingerprint: 'f', server: 'x' }, 15], [ready('b'), 20]), 0)
 })
 
-// Two servers end together. Were the request that the first one cut tried at the second at once, two losses would be
-// held against it although it did nothing.
-test('no trial is given before the pause after the first ask, in which servers that end together are noticed', t => {
+// Guards against the quarantine of an innocent request that is tried at the second of two servers failing together.
+test('no trial is granted before the pause after the first ask', t => {
   const ask: TrialsEvent = { type: 'ask', id: '1', fingerprint: 'f', servers: SERVERS }
   const options = { daemons: [], pause: 150 }
   const first = step(EMPTY, ask, { ...options, now: 0 })
@@ -91,9 +89,8 @@
   t.is(step(second.state, ask, { ...options, now: 150 }).grants.length, 1)
 })
 
-// A daemon knows of the bystander, which asks, and not yet of the crashing request that was in flight beside it. Were the
-// bystander tried now, that daemon could send a copy of the other one to the same server.
-test('no trial is given before every daemon knows of all that is newly suspect', t => {
+// Guards against a daemon that sends a copy of a suspect it doesn't know of to the server of another suspect's trial.
+test('no trial is granted before every daemon knows of all recent suspects', t => {
   const options = { daemons: ['a'], recentSuspects: ['f', 'g'], now: 0 }
   const asked = step(EMPTY, { type: 'ask', id: '1', fingerprint: 'f', servers: SERVERS }, options)
   const half = step(asked.state, { type: 'ready', daemon: 'a', fingerprints: ['f'] }, options)
@@ -101,7 +98,7 @@
   t.is(step(half.state, { type: 'ready', daemon: 'a', fingerprints: ['g'] }, options).grants.length, 1)
 })
 
-test('no trial is given at a server lost a moment ago', t => {
+test('no trial is granted at a recently lost server', t => {
   const ask: TrialsEvent = { type: 'ask', id: '1', fingerprint: 'f', servers: ['x', 'y'] }
   t.deepEqual(step(EMPTY, ask, { now: 0, daemons: [], lost: ['x'] }).grants, [{ id: '1', server: 'y' }])
   t.deepEqual(step(EMPTY, ask, { now: 0, daemons: [], lost: ['x', 'y'] }).grants, [])
--- a/test/routing/unread-in-system.test.ts
+++ b/test/routing/unread-in-system.test.ts
@@ -2,13 +2,13 @@
 import { DispatchBench } from '../helpers/dispatch-bench.js'
 import { StrictServer } from '../helpers/strict-server.js'
 
-/** Short enough that the operating system takes all of it from our socket, bytes. */
+/** Bytes that the operating system's socket buffers accept at once. */
 const TAKEN_WHOLE = 120_000
 const SHORT = 1_000
 const FOLLOWING = 4
-/** How long the server leaves the body unread, ms. */
+/** Time for which the server leaves the body unread, ms. */
 const UNREAD = 1_000
-/** Longest time to the answer of a server that answers at once, ms. */
+/** Longest time to the answer of a server that answers immediately, ms. */
 const PROMPT = 100
 const ANSWER = 'HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nwhole'
 
@@ -21,8 +21,8 @@
   return performance.now() - sentAt
 }
 
-// A server answers without reading a body that the operating system took whole; the next request waits behind it there.
-test('a request beside an unread body that the operating system took whole is answered at once', async t => {
+// Guards against a request that waits in socket buffers behind a body which its server leaves unread after it has answered.
+test('a request after an unread body in the socket buffers is answered immediately', async t => {
   const server = await StrictServer.start(({ length, handed, socket }) => {
     if (length === SHORT) {
       void handed.then(() => socket.write(ANSWER))
--- a/test/routing/withheld.test.ts
+++ b/test/routing/withheld.test.ts
@@ -2,9 +2,9 @@
 import { DispatchBench } from '../helpers/dispatch-bench.js'
 import { RawServer } from '../helpers/raw-server.js'
 
-// The request waits for a connection, and may not begin any more when that is there. No byte may leave, its sender hears
-// that it didn't run, and nothing is held against the server: with it, healthy servers would be left out after a pause.
-test('a request that may not begin any more is not sent when its connection comes', async t => {
+// Guards against sending a request that may no longer start when its connection is ready, and against counting it as a failure
+// of the server.
+test('a request that may no longer start is not sent when its connection is ready', async t => {
   const server = await RawServer.start(() => {})
   const bench = new DispatchBench({ ports: [server.port] })
   t.teardown(async () => {
