--- a/src/routing/dispatcher.ts
+++ b/src/routing/dispatcher.ts
@@ -21,7 +21,7 @@
 import type { ServerRequest } from './server-request.js'
 import { Servers } from './servers.js'
 import { Trials } from './trials.js'
-import { readWholeAnswer } from './whole-answer.js'
+import { readWholeAnswer } from './read-whole-answer.js'
 
 /** What the requests of one pool share: their retry budget and observed answer times. */
 interface PoolState { readonly budget: RetryBudget, readonly times: ModelTimes }
--- a/src/routing/exchange.ts
+++ b/src/routing/exchange.ts
@@ -27,7 +27,7 @@
   private readonly sendState = { sent: false, mayStart: () => this.confirmStart() }
   private readonly abort = new AbortController()
   private body?: AsyncIterator<Buffer>
-  private why: SendFailure['why'] = 'cut'
+  private failureReason: SendFailure['why'] = 'cut'
 
   constructor (private readonly options: ExchangeOptions) {
     const { signal } = options
@@ -70,13 +70,13 @@
 
   /** Aborts the exchange and closes its connection. Has no effect after its end. */
   abandon (why: 'silent' | 'abandoned'): void {
-    this.why = why
+    this.failureReason = why
     this.abort.abort()
   }
 
   private confirmStart (): boolean {
     const may = this.options.mayStart?.() ?? true
-    if (!may) this.why = 'withheld'
+    if (!may) this.failureReason = 'withheld'
     return may
   }
 
@@ -86,7 +86,7 @@
       return Ok(await wait())
     } catch (error) {
       const { sent } = this.sendState
-      return Err({ sent, why: !sent && this.why === 'cut' ? 'unreachable' : this.why, detail: (error as Error).message })
+      return Err({ sent, why: !sent && this.failureReason === 'cut' ? 'unreachable' : this.failureReason, detail: (error as Error).message })
     } finally {
       cancel()
     }
--- a/src/routing/list-recent-losses.ts
+++ b/src/routing/list-recent-losses.ts
@@ -1,7 +1,7 @@
 import type { QuarantineState } from './quarantine-state.js'
 
 /** Time within which some daemons may not have received a loss yet, ms. */
-const RECENT = 5_000
+const RECENT_PERIOD = 5_000
 
 interface RecentLosses {
   /** Recently accused fingerprints, each with the server of its last loss. */
@@ -15,8 +15,8 @@
   return {
     suspects: [...suspects].flatMap(([fingerprint, { losses }]) => {
       const last = losses.at(-1)
-      return last !== undefined && now - last.at < RECENT ? [{ fingerprint, server: last.server, ago: now - last.at }] : []
+      return last !== undefined && now - last.at < RECENT_PERIOD ? [{ fingerprint, server: last.server, ago: now - last.at }] : []
     }),
-    servers: [...lost].flatMap(([server, at]) => now - at < RECENT ? [server] : [])
+    servers: [...lost].flatMap(([server, at]) => now - at < RECENT_PERIOD ? [server] : [])
   }
 }
--- a/src/routing/paced-socket.ts
+++ b/src/routing/paced-socket.ts
@@ -1,7 +1,7 @@
 import { Socket } from 'node:net'
 
 /** High-water mark in bytes: any unread data stops reading, so that each read goes through `_read`. */
-const READ_MARK = 1
+const HIGH_WATER_MARK = 1
 
 /**
  * A socket that reads at most once per `period` ms. Data that arrives meanwhile stays in the kernel's buffer and is read at
@@ -12,7 +12,7 @@
   private timer: NodeJS.Timeout | undefined
 
   constructor (private readonly period: number) {
-    super({ readableHighWaterMark: READ_MARK } as object)
+    super({ readableHighWaterMark: HIGH_WATER_MARK } as object)
   }
 
   override _read (size: number): void {
--- a/src/routing/trials.ts
+++ b/src/routing/trials.ts
@@ -45,7 +45,7 @@
   private reportedHolds: ReadonlySet<string> = new Set()
   private readonly granted = new Map<string, { readonly fingerprint: string, readonly server: string }>()
   private readonly asks = new Map<string, (answer: string) => void>()
-  private count = 0
+  private askCount = 0
 
   constructor (
     @inject(Quarantine) private readonly quarantine: Quarantine,
@@ -73,7 +73,7 @@
 
   /** Resolves with a trial at one of the listed servers, or with the reason why none is needed or possible. */
   async wait (fingerprint: string, listServers: () => readonly string[], { deadline, signal }: WaitOptions): Promise<Outcome> {
-    const id = `${this.settings.instance}.${this.clock.date()}.${this.count++}`
+    const id = `${this.settings.instance}.${this.clock.date()}.${this.askCount++}`
     return await new Promise<Outcome>(resolve => {
       const cancel = this.clock.every(ASK_PERIOD, () => check())
       const end = (): void => {
