--- a/src/routing/create-paced-connector.ts
+++ b/src/routing/create-paced-connector.ts
@@ -9,7 +9,7 @@
   readonly period: number
 }
 
-/** Creates an undici connector whose connections read at most once per `period`, for answers that nobody reads live. */
+/** Creates an undici connector whose connections read at most once per `period`, for answers that aren't relayed live. */
 export function createPacedConnector ({ timeout, period }: PacedConnectorOptions): buildConnector.connector {
   return ({ hostname, port }, callback) => {
     const socket = new PacedSocket(period)
--- a/src/routing/trials.ts
+++ b/src/routing/trials.ts
@@ -26,9 +26,9 @@
 type Outcome = Trial | 'cleared' | 'quarantined' | 'deadline'
 
 /**
- * Runs each suspect alone at its server. One daemon, chosen by rendezvous hashing among those that may own things, is the
- * trial coordinator of the whole fleet. While daemons disagree about the members there may be two, which could grant two
- * trials at one server; but each lacks the readiness of the daemons that report to the other, and grants none for seconds.
+ * Runs each suspect alone at its server. One daemon, selected by rendezvous hashing among the possible owners, is the
+ * trial coordinator of the fleet. While daemons disagree about the members there may be two, which could grant two
+ * trials at one server; but each waits for the daemons that report to the other, and grants none for seconds.
  */
 @scoped(Lifecycle.ContainerScoped)
 export class Trials implements Part {
