--- a/src/routing/delivery.ts
+++ b/src/routing/delivery.ts
@@ -16,10 +16,11 @@
 import type { Trial } from './trial.js'
 import type { Trials } from './trials.js'
 
+/** Mean of the retry delay suggested to a refused caller, ms. */
 const RETRY_AFTER = 1_000
-const KEPT_OUT = 'the servers that ran this request ended; it is kept out for a while'
+const QUARANTINED_DETAIL = 'the servers that ran this request ended; it is kept out for a while'
 
-/** What every delivery of one daemon shares. */
+/** The parts that all deliveries of one daemon use. */
 interface DeliveryTools {
   readonly servers: Servers
   readonly sender: Sender
@@ -31,15 +32,15 @@
 }
 
 interface DeliveryOptions {
-  /** What the servers' prefix caches are keyed by. */
+  /** Affinity key of the servers' prefix caches; the request's fingerprint when absent. */
   readonly key?: string
-  /** Longest wait for the head of an answer of a request that may be sent again and has `left` ms. */
+  /** Returns the timeout in ms of a request that may be sent again and has `left` ms until its deadline. */
   readonly getTimeout: (left: number) => number
-  /** Longest wait of a retry for a place, ms. */
+  /** Longest wait of a retry for a server with capacity, ms. */
   readonly retryWait: number
 }
 
-/** All the sends of one request: where to, after which failures again, and what to say when it is given up. */
+/** Sends one request until a server answers: chooses the servers, decides on retries, and builds the refusal if it fails. */
 export class Delivery {
   private readonly fingerprint: string
   private readonly tried: BackendServer[] = []
@@ -50,14 +51,14 @@
     this.fingerprint = hashRequest(request)
   }
 
-  /** Sends until an answer begins. Takes its place at a server before the first wait. */
+  /** Sends until an answer begins. If a server has capacity, counts the request there before the first await. */
   async open (body: Buffer | null): Promise<Result<OpenExchange, Refusal>> {
     for (;;) {
-      const place = this.tryPlace()
-      const server = place ?? await this.waitForPlace()
+      const available = this.tryChoose()
+      const server = available ?? await this.waitForServer()
       if ('cause' in server) return Err(server)
       this.tried.push(server)
-      const opened = await this.tools.sender.send(server, this.request, { body, fingerprint: this.fingerprint, headerTimeout: this.getPatience() })
+      const opened = await this.tools.sender.send(server, this.request, { body, fingerprint: this.fingerprint, headerTimeout: this.getTimeout() })
       if (opened.ok) {
         this.sent = true
         return Ok(opened.val)
@@ -68,7 +69,7 @@
     }
   }
 
-  /** What follows a failure: a refusal, or undefined where the request may be sent again. */
+  /** Returns the refusal that follows a failure, or undefined if the request may be sent again. */
   plan (failure: SendFailure): Refusal | undefined {
     const { clock, budget } = this.tools
     this.sent ||= failure.sent
@@ -82,7 +83,7 @@
     return plan.type === 'send' ? undefined : this.refuse(plan.cause, plan.detail)
   }
 
-  /** Ends it: a whole answer earns its share of a retry and clears a suspect. */
+  /** Ends the delivery. A complete answer adds to the retry budget and counts as a pass if the request is suspect. */
   end (whole: boolean): void {
     if (whole) {
       this.tools.budget.record()
@@ -96,11 +97,11 @@
     return { cause, ran: this.sent ? 'unknown' : 'not run', retryAfter: this.tools.random.spread(RETRY_AFTER), detail }
   }
 
-  /** A server now, a refusal that no wait would change, or undefined. */
-  private tryPlace (): BackendServer | Refusal | undefined {
-    const standing = this.tools.quarantine.check(this.fingerprint)
-    if (standing === 'quarantined') return this.refuse('quarantined', KEPT_OUT)
-    if (standing === 'suspect') return undefined
+  /** Returns a server with capacity, a refusal that waiting can't avert, or undefined if the request has to wait. */
+  private tryChoose (): BackendServer | Refusal | undefined {
+    const status = this.tools.quarantine.check(this.fingerprint)
+    if (status === 'quarantined') return this.refuse('quarantined', QUARANTINED_DETAIL)
+    if (status === 'suspect') return undefined
     const open = this.listOpen()
     if (open.length === 0) return this.refuse('no server', 'no server of the pool is open')
     const server = this.choose(open)
@@ -112,7 +113,7 @@
     return this.tools.servers.inPool(this.request.pool).filter(({ leaving, limit }) => !leaving && limit > 0)
   }
 
-  /** A server that failed this request before gets it again only where no other one is left. */
+  /** Chooses a server that hasn't failed this request; one that has only if no other is open. */
   private choose (open: readonly BackendServer[]): BackendServer | undefined {
     const { quarantine, random } = this.tools
     const tried = this.tried.map(({ name }) => name)
@@ -127,27 +128,27 @@
     return chooseServer(open.filter(({ name }) => name === same), options) ?? chooseServer(untried.length > 0 ? untried : open, options)
   }
 
-  private async waitForPlace (): Promise<BackendServer | Refusal> {
+  private async waitForServer (): Promise<BackendServer | Refusal> {
     const { quarantine, clock, servers } = this.tools
     const end = Math.min(this.request.deadline, clock.now() + this.options.retryWait)
     for (;;) {
       const suspect = quarantine.check(this.fingerprint) === 'suspect'
-      const place = suspect ? await this.waitForTrial() : this.tryPlace()
-      if (place !== undefined) return place
+      const chosen = suspect ? await this.waitForTrial() : this.tryChoose()
+      if (chosen !== undefined) return chosen
       if (suspect) continue
       if (clock.now() >= end || this.request.signal?.aborted === true) return this.refuse('overloaded', 'every other server is at its limit')
       await servers.waitForRelease(end - clock.now())
     }
   }
 
-  /** Undefined where the request was cleared while it waited. */
+  /** Waits for a trial and returns its server; undefined if the request was cleared meanwhile. */
   private async waitForTrial (): Promise<BackendServer | Refusal | undefined> {
     const open = this.listOpen()
     if (open.length === 0) return this.refuse('no server', 'no server of the pool is open')
     const outcome = await this.tools.trials.wait(this.fingerprint, () => this.listOpen().map(({ name }) => name), this.request)
     switch (outcome) {
       case 'cleared': return undefined
-      case 'quarantined': return this.refuse('quarantined', KEPT_OUT)
+      case 'quarantined': return this.refuse('quarantined', QUARANTINED_DETAIL)
       case 'deadline': return this.refuse('deadline', 'its deadline passed before it could be tried alone')
       default:
         this.trial = outcome
@@ -155,8 +156,8 @@
     }
   }
 
-  /** How long to wait for a server that says nothing, ms. */
-  getPatience (): number {
+  /** Longest wait for the next bytes of an answer, ms. */
+  getTimeout (): number {
     const left = Math.max(1, this.request.deadline - this.tools.clock.now())
     return this.request.idempotent ? Math.min(left, this.options.getTimeout(left)) : left
   }
--- a/src/routing/dispatcher.ts
+++ b/src/routing/dispatcher.ts
@@ -21,12 +21,12 @@
 import type { ServerRequest } from './server-request.js'
 import { Servers } from './servers.js'
 import { Trials } from './trials.js'
-import { readWholeAnswer } from './whole-answer.js'
+import { readWholeAnswer } from './read-whole-answer.js'
 
-/** What each pool's requests share: the budget of their retries and what is known of their times. */
+/** What the requests of one pool share: their retry budget and observed answer times. */
 interface PoolState { readonly budget: RetryBudget, readonly times: ModelTimes }
 
-/** Sends requests to backend servers: chooses one, and tries another where that is safe. */
+/** Sends requests to the backend servers of a pool, and to another server after a failure if that is safe. */
 @scoped(Lifecycle.ContainerScoped)
 export class Dispatcher {
   private readonly pools = new Map<string, PoolState>()
@@ -41,45 +41,45 @@
     @inject(tokens.random) private readonly random: Random
   ) {}
 
-  /** Whether a server has a place for the request now. */
+  /** Whether a server of the pool has capacity for the request now. */
   hasCapacity ({ pool, limit }: ServerRequest): boolean {
     return chooseServer(this.servers.inPool(pool), { random: this.random, limit }) !== undefined
   }
 
-  /** Whether any server of the pool would take requests once it has a place. */
+  /** Whether any server of the pool accepts requests, though it may be at its limit. */
   isOpen (pool: string): boolean {
     return this.servers.inPool(pool).some(({ leaving, limit }) => !leaving && limit > 0)
   }
 
   /**
-   * Resolves when the answer is whole or, for a stream or a long one, has begun. The body is the caller's to read
-   * and end. A refusal as overloaded and not run means that there was no place, at once.
+   * Resolves when the answer is complete or, for a stream or a long one, has begun. The caller has to read the body and
+   * call `end`. Resolves with a refusal as `overloaded` and `not run` without waiting if no server has capacity.
    */
   async send (request: ServerRequest): Promise<Result<ServerAnswer, Refusal>> {
     const { budget, times } = this.readPool(request.pool)
-    const asked = readModelRequest(request)
+    const modelRequest = readModelRequest(request)
     const model = this.findModel(request.service)
     const { servers, sender, quarantine, trials, clock, random } = this
     const delivery = new Delivery(request, { servers, sender, quarantine, trials, clock, random, budget }, {
-      key: asked === undefined ? undefined : `${request.service}\0${asked.prefix}`,
-      getTimeout: left => asked?.stream === true && model !== undefined ? times.getFirstPatience(model) : left / 2,
+      key: modelRequest === undefined ? undefined : `${request.service}\0${modelRequest.prefix}`,
+      getTimeout: left => modelRequest?.stream === true && model !== undefined ? times.getFirstTokenTimeout(model) : left / 2,
       retryWait: this.configuration.value.limits.queueWait
     })
     const opened = await delivery.open(request.body ?? null)
     if (opened.err) return opened
-    if (asked !== undefined && model !== undefined && opened.val.exchange.isStream()) return Ok(this.answerStream(opened.val, delivery, asked, model, times))
+    if (modelRequest !== undefined && model !== undefined && opened.val.exchange.isStream()) return Ok(this.answerStream(opened.val, delivery, modelRequest, model, times))
     return await this.answerWhole(opened.val, delivery, model)
   }
 
-  private answerStream (first: OpenExchange, delivery: Delivery, asked: ModelRequest, model: Model, times: ModelTimes): ServerAnswer {
+  private answerStream (first: OpenExchange, delivery: Delivery, modelRequest: ModelRequest, model: Model, times: ModelTimes): ServerAnswer {
     const stream = new ModelStream(first, {
       delivery,
-      model: asked,
+      model: modelRequest,
       canResume: model.resume === true,
-      getPatience: tokens => tokens === 0 ? times.getFirstPatience(model) : times.getBetweenPatience(model),
+      getTimeout: tokens => tokens === 0 ? times.getFirstTokenTimeout(model) : times.getTokenGapTimeout(model),
       onTokens: ({ server }, tokens, isFirst, wait) => {
-        if (isFirst) times.recordFirst(wait)
-        else times.recordBetween(wait / tokens)
+        if (isFirst) times.recordFirstToken(wait)
+        else times.recordTokenGap(wait / tokens)
         if (isFirst) this.servers.record(server.name, wait / model.firstToken, delivery.request.limit)
       },
       now: () => this.clock.now()
@@ -98,7 +98,7 @@
 
   private async answerWhole (first: OpenExchange, delivery: Delivery, model: Model | undefined): Promise<Result<ServerAnswer, Refusal>> {
     for (let open = first; ;) {
-      const read = await readWholeAnswer(open, () => delivery.getPatience())
+      const read = await readWholeAnswer(open, () => delivery.getTimeout())
       if (read.ok) {
         const { body, tokens } = read.val
         const { server, exchange: { status, headers } } = open
--- a/src/routing/exchange.ts
+++ b/src/routing/exchange.ts
@@ -7,27 +7,27 @@
   readonly clock: Clock
   readonly agent: Dispatcher
   readonly origin: string
-  /** With its query, sent as it is: what a URL makes of it may be another resource. */
+  /** Path and query, sent unchanged: URL normalization could turn it into another resource. */
   readonly path: string
   readonly method: string
   readonly headers: Readonly<Record<string, string>>
   readonly body: Buffer | null
   readonly signal?: AbortSignal
+  /** Checked right before the first byte is written; the request isn't sent if it returns false. */
   readonly mayStart?: () => boolean
 }
 
 /**
- * One exchange with a backend server. Whoever abandons it, at whatever point, takes its connection with it: a
- * connection whose answer is still under way never goes back to the pool, so that a late answer can't reach another
- * request.
+ * One request to a backend server and its answer. Abandoning it closes its connection: a connection with an unfinished
+ * answer never returns to the pool, so that a late answer can't be read as the answer to another request.
  */
 export class Exchange {
   status = 0
   headers: Readonly<Record<string, string | string[] | undefined>> = {}
-  private readonly mark = { sent: false, mayStart: () => this.confirmStart() }
+  private readonly sendState = { sent: false, mayStart: () => this.confirmStart() }
   private readonly abort = new AbortController()
   private body?: AsyncIterator<Buffer>
-  private why: SendFailure['why'] = 'cut'
+  private failureReason: SendFailure['why'] = 'cut'
 
   constructor (private readonly options: ExchangeOptions) {
     const { signal } = options
@@ -37,12 +37,12 @@
     else signal.addEventListener('abort', onAbort, { once: true, signal: this.abort.signal })
   }
 
-  /** Sends the request and waits up to `patience` ms for the head of the answer. */
-  async open (patience: number): Promise<Result<void, SendFailure>> {
+  /** Sends the request and waits up to `timeout` ms for the answer's status and headers. */
+  async open (timeout: number): Promise<Result<void, SendFailure>> {
     const { agent, origin, path, method, headers, body } = this.options
-    return await this.watch(patience, async () => {
+    return await this.withTimeout(timeout, async () => {
       const answer = await agent.request({
-        origin, path, method: method as 'POST', headers, body, signal: this.abort.signal, opaque: this.mark, headersTimeout: 0, bodyTimeout: 0
+        origin, path, method: method as 'POST', headers, body, signal: this.abort.signal, opaque: this.sendState, headersTimeout: 0, bodyTimeout: 0
       })
       this.status = answer.statusCode
       this.headers = answer.headers
@@ -50,9 +50,9 @@
     })
   }
 
-  /** The next bytes of the body, waiting up to `patience` ms for them; undefined at its end. */
-  async read (patience: number): Promise<Result<Buffer | undefined, SendFailure>> {
-    return await this.watch(patience, async () => {
+  /** Returns the next bytes of the body, undefined at its end; fails as `silent` if none arrive within `timeout` ms. */
+  async read (timeout: number): Promise<Result<Buffer | undefined, SendFailure>> {
+    return await this.withTimeout(timeout, async () => {
       const next = await this.body!.next()
       return next.done === true ? undefined : next.value
     })
@@ -63,30 +63,30 @@
     return this.status < 300 && String(this.headers['content-type']).startsWith('text/event-stream')
   }
 
-  /** Whether a byte of the request can have left. */
+  /** Whether any byte of the request may have been sent. */
   isSent (): boolean {
-    return this.mark.sent
+    return this.sendState.sent
   }
 
-  /** Gives the exchange up. To do so after its end changes nothing. */
+  /** Aborts the exchange and closes its connection. Has no effect after its end. */
   abandon (why: 'silent' | 'abandoned'): void {
-    this.why = why
+    this.failureReason = why
     this.abort.abort()
   }
 
   private confirmStart (): boolean {
     const may = this.options.mayStart?.() ?? true
-    if (!may) this.why = 'withheld'
+    if (!may) this.failureReason = 'withheld'
     return may
   }
 
-  private async watch<T> (patience: number, wait: () => Promise<T>): Promise<Result<T, SendFailure>> {
-    const cancel = this.options.clock.after(patience, () => this.abandon('silent'))
+  private async withTimeout<T> (timeout: number, wait: () => Promise<T>): Promise<Result<T, SendFailure>> {
+    const cancel = this.options.clock.after(timeout, () => this.abandon('silent'))
     try {
       return Ok(await wait())
     } catch (error) {
-      const { sent } = this.mark
-      return Err({ sent, why: !sent && this.why === 'cut' ? 'unreachable' : this.why, detail: (error as Error).message })
+      const { sent } = this.sendState
+      return Err({ sent, why: !sent && this.failureReason === 'cut' ? 'unreachable' : this.failureReason, detail: (error as Error).message })
     } finally {
       cancel()
     }
--- a/src/routing/sender.ts
+++ b/src/routing/sender.ts
@@ -7,7 +7,7 @@
 import type { BackendServer } from './backend-server.js'
 import { Exchange } from './exchange.js'
 import { exchangeObserverPoint } from './exchange-observer-point.js'
-import { isGone } from './is-gone.js'
+import { isServerGone } from './is-server-gone.js'
 import type { OpenExchange } from './open-exchange.js'
 import { Quarantine } from './quarantine.js'
 import type { SendFailure } from './send-failure.js'
@@ -15,36 +15,36 @@
 import { ServerViews } from './server-views.js'
 import { Servers } from './servers.js'
 
-/** Statuses by which a server says that it can't serve now; a 500 may be the request's own doing. */
-const UNWELL = [502, 503, 504]
+/** Statuses that report an unavailable server. A 500 isn't among them, as the request itself may cause it. */
+const UNAVAILABLE_STATUSES = [502, 503, 504]
 
 interface SendOptions {
   readonly body: Buffer | null
   readonly fingerprint: string
-  /** Longest wait for the head of the answer, ms. */
+  /** Longest wait for the answer's status and headers, ms. */
   readonly headerTimeout: number
 }
 
-/** Carries one request to one server, and tells all that count or judge exchanges of its begin and end. */
+/** Sends a request to a server and reports the exchange to server health, quarantine and observers. */
 @scoped(Lifecycle.ContainerScoped)
 export class Sender {
   private readonly probes = new Map<string, Promise<void>>()
-  /** Exchanges in flight that may be sent again, with their servers. */
+  /** Exchanges in flight of idempotent requests, with their servers. */
   private readonly repeatable = new Map<Exchange, string>()
 
   constructor (
     @inject(Servers) private readonly servers: Servers,
     @inject(Quarantine) private readonly quarantine: Quarantine,
-    @inject(Extensions) private readonly added: Extensions,
+    @inject(Extensions) private readonly extensions: Extensions,
     @inject(Timeline) private readonly timeline: Timeline,
     @inject(ServerViews) views: ServerViews,
     @inject(tokens.clock) private readonly clock: Clock
   ) {
-    views.subscribe(({ server, state }) => { if (state === 'down') this.abandon(server) })
+    views.subscribe(({ server, state }) => { if (state === 'down') this.abandonRepeatable(server) })
   }
 
-  /** Counts the exchange before the first wait, so that a choice made right before still holds. */
-  async send (server: BackendServer, request: ServerRequest, { body, fingerprint, headerTimeout: patience }: SendOptions): Promise<Result<OpenExchange, SendFailure>> {
+  /** Sends the request. Counts it at the server before the first await, so that the choice of the server still holds. */
+  async send (server: BackendServer, request: ServerRequest, { body, fingerprint, headerTimeout }: SendOptions): Promise<Result<OpenExchange, SendFailure>> {
     const exchange = new Exchange({
       clock: this.clock,
       agent: this.servers.agents[request.paced === true ? 'paced' : request.work],
@@ -58,20 +58,20 @@
     })
     const open = this.begin(server, request, exchange, fingerprint)
     this.timeline.record({ part: 'routing', what: 'sent', request: request.id, server: server.name })
-    const opened = await exchange.open(patience)
+    const opened = await exchange.open(headerTimeout)
     if (opened.ok) return Ok(open)
     await open.fail(opened.val)
     return Err(opened.val)
   }
 
-  /** Where nothing listens at the server, waits for what the other daemons had in flight there. */
+  /** If the server's process has exited, waits for the other daemons' reports of what they had in flight there. */
   async waitForLossReports ({ name, url }: BackendServer): Promise<void> {
-    if (await isGone(url)) await this.quarantine.waitForLossReports(name)
+    if (await isServerGone(url)) await this.quarantine.waitForLossReports(name)
   }
 
   private begin (server: BackendServer, request: ServerRequest, exchange: Exchange, fingerprint: string): OpenExchange {
-    const observers = this.added.collect(exchangeObserverPoint)
-    // Batch streams give way to online requests, so they take no place of theirs.
+    const observers = this.extensions.collect(exchangeObserverPoint)
+    // Batch requests are preempted by online requests, so they don't count towards a server's online limit.
     const release = request.work === 'online' ? this.servers.begin(server.name) : () => {}
     const forget = this.quarantine.begin(fingerprint, server.name, () => exchange.isSent())
     for (const observer of observers) observer.onBegin(request, server.name)
@@ -82,7 +82,7 @@
       ended = true
       this.repeatable.delete(exchange)
       if (outcome === 'answered') this.quarantine.onServerAnswered(server.name)
-      if (outcome === 'answered') this.servers.observe(server.name, UNWELL.includes(exchange.status) ? 'failed' : 'answered')
+      if (outcome === 'answered') this.servers.observe(server.name, UNAVAILABLE_STATUSES.includes(exchange.status) ? 'failed' : 'answered')
       else exchange.abandon('abandoned')
       forget()
       release()
@@ -100,25 +100,25 @@
   }
 
   /**
-   * A server that stands still keeps its connections open and says nothing. Whoever waits for a whole answer there
-   * would wait out half of its deadline; the server's owner knows sooner that it is down, by its health checks.
+   * Abandons the exchanges that may be sent again at a server that its owner found down. A paused server keeps its
+   * connections open, and a request for a complete answer would otherwise wait for half the time to its deadline.
    */
-  private abandon (server: string): void {
+  private abandonRepeatable (server: string): void {
     for (const [exchange, name] of this.repeatable) if (name === server) exchange.abandon('silent')
   }
 
   /**
-   * A cut connection alone doesn't tell a lost server from a lost connection. All exchanges that were cut at the
-   * same time wait for the same probe, so that each is still counted as in flight when the server is judged.
+   * Probes a server after a cut connection, which alone doesn't tell a lost server from a lost connection. All exchanges
+   * cut at the same time wait for one probe, so that each still counts as in flight when the loss is confirmed.
    */
   private async probe (server: BackendServer): Promise<void> {
-    const running = this.probes.get(server.url) ?? this.judge(server).finally(() => this.probes.delete(server.url))
+    const running = this.probes.get(server.url) ?? this.confirmLoss(server).finally(() => this.probes.delete(server.url))
     this.probes.set(server.url, running)
     await running
   }
 
-  private async judge (server: BackendServer): Promise<void> {
-    if (!await isGone(server.url)) return
+  private async confirmLoss (server: BackendServer): Promise<void> {
+    if (!await isServerGone(server.url)) return
     this.servers.observe(server.name, 'unreachable')
     this.quarantine.onServerLost(server.name)
   }
--- a/src/routing/sse-reader.ts
+++ b/src/routing/sse-reader.ts
@@ -5,22 +5,23 @@
 const LINE_BREAK = /\r\n|\n|\r/
 
 /**
- * Cuts a byte stream into server-sent events. Only whole events come out: what follows the last blank line is held
- * until its own comes, and is never seen if the stream ends before.
+ * Decodes a byte stream into server-sent events. Returns complete events only; text after the last blank line is buffered
+ * and discarded if the stream ends.
  *
  * Source: HTML standard, section 9.2, "Server-sent events".
  */
 export class SseReader {
-  private held = ''
+  private buffered = ''
   private readonly decoder = new StringDecoder('utf8')
 
+  /** Adds bytes and returns the events that they complete. */
   push (bytes: Buffer): readonly SseEvent[] {
-    this.held += this.decoder.write(bytes)
+    this.buffered += this.decoder.write(bytes)
     const events: SseEvent[] = []
-    for (let end = END_OF_EVENT.exec(this.held); end !== null; end = END_OF_EVENT.exec(this.held)) {
+    for (let end = END_OF_EVENT.exec(this.buffered); end !== null; end = END_OF_EVENT.exec(this.buffered)) {
       const length = end.index + end[0].length
-      events.push({ raw: this.held.slice(0, length), data: readData(this.held.slice(0, end.index)) })
-      this.held = this.held.slice(length)
+      events.push({ raw: this.buffered.slice(0, length), data: readData(this.buffered.slice(0, end.index)) })
+      this.buffered = this.buffered.slice(length)
     }
     return events
   }
--- a/src/routing/step-progress.ts
+++ b/src/routing/step-progress.ts
@@ -7,12 +7,12 @@
 interface Usage { readonly completion_tokens?: number, readonly total_tokens?: number }
 interface Chunk { id?: string, readonly choices?: readonly Choice[], readonly usage?: Usage | null }
 
-interface Step { readonly progress: StreamProgress, readonly relay?: string, /** The piece of text that it gives. */ readonly token?: string }
+interface Step { readonly progress: StreamProgress, readonly relay?: string, /** The piece of text in the event. */ readonly token?: string }
 
 /**
- * Takes one event of a streamed answer. `relay` is what the caller is to see of it, under the id of the first chunk
- * though a later server may have given another, and with the usage of all servers; it is absent for what the caller has
- * already seen.
+ * Applies one event of a streamed answer. `relay` is the text to send to the caller, with the id of the first chunk even if
+ * a later server uses another, and with the usage of all servers together. It is absent if the event repeats what the
+ * caller has already received.
  */
 export function stepProgress (progress: StreamProgress, { data, raw }: SseEvent): Step {
   if (data === '') return { progress, relay: raw }
@@ -22,20 +22,20 @@
   const choice = chunk.choices?.[0]
   const text = choice?.text ?? choice?.delta?.content
   const repeated = progress.id !== undefined && choice !== undefined && (text === undefined || text === '') && choice.finish_reason == null && isPlain(choice)
-  const usage = chunk.usage == null ? undefined : addCarried(chunk.usage, progress.carried)
+  const usage = chunk.usage == null ? undefined : addCarried(chunk.usage, progress.earlierTokenCount)
   const token = typeof text === 'string' && text !== '' ? text : undefined
   const next: StreamProgress = {
-    given: progress.given + (token === undefined ? 0 : 1),
+    tokenCount: progress.tokenCount + (token === undefined ? 0 : 1),
     id: progress.id ?? chunk.id,
     finished: progress.finished || choice?.finish_reason != null,
     done: progress.done,
     resumable: progress.resumable && (chunk.choices?.every(({ index = 0 }) => index === 0) ?? true) && (choice === undefined || isPlain(choice)),
-    carried: progress.carried,
+    earlierTokenCount: progress.earlierTokenCount,
     usage: usage?.completion_tokens ?? progress.usage
   }
   if (repeated) return { progress: next }
   const renamed = progress.id !== undefined && chunk.id !== undefined && chunk.id !== progress.id
-  const changed = renamed || (usage !== undefined && progress.carried > 0)
+  const changed = renamed || (usage !== undefined && progress.earlierTokenCount > 0)
   return { progress: next, token, relay: changed ? `data: ${JSON.stringify({ ...chunk, id: next.id, ...(usage && { usage }) })}\n\n` : raw }
 }
 
@@ -44,7 +44,7 @@
   return { ...usage, completion_tokens: completion + carried, total_tokens: total + carried }
 }
 
-/** Whether the chunk carries nothing but text: tool calls and the like can't be continued from tokens. */
+/** Whether the choice contains only text. Tool calls and the like can't be continued from tokens. */
 function isPlain ({ delta = {} }: Choice): boolean {
   return Object.entries(delta).every(([name, value]) => name === 'content' || name === 'role' || value === null)
 }
--- a/src/routing/step-quarantine.ts
+++ b/src/routing/step-quarantine.ts
@@ -4,9 +4,9 @@
 import type { ServerLoss } from './server-loss.js'
 import type { Suspect } from './suspect.js'
 
-/** Losses of one server nearer together than this (ms) are one: several daemons tell of the same end, some late. */
-const SAME_LOSS = 5_000
-/** By what the whole runs that clear a suspect grow with each loss that it was cleared of before. */
+/** Losses of one server within this time (ms) count as one, as several daemons report the same exit. */
+const SAME_LOSS_WINDOW = 5_000
+/** Factor by which the passes needed to clear a suspect grow with each earlier loss. */
 const PASS_GROWTH = 4
 
 interface Step { readonly state: QuarantineState, readonly accused: readonly string[] }
@@ -14,15 +14,15 @@
 interface StepOptions { readonly now: number, readonly keep: number }
 
 /**
- * Moves the quarantine on by one event. `accused` are the fingerprints that the event newly holds a loss against,
- * for the other daemons to hear. What is held against a fingerprint is a union of losses, so that daemons that hear
- * of the same losses in any order agree.
+ * Applies one event to the quarantine's state. `accused` are the fingerprints to which the event adds a loss, to be
+ * published to the other daemons. The losses of a fingerprint form a set, so that daemons which receive the same losses in
+ * any order agree.
  *
- * What had no byte at the server, or began only after the first word of its loss, has no part in it. Without that, a
- * request let go to a server that was just ending was quarantined for a loss that another had caused.
+ * An exchange isn't accused if none of its bytes was sent, or if it began after the loss was first detected: a request sent
+ * to a server that is just exiting didn't cause the loss.
  *
- * A request that crashes servers only now and then passes some of its runs. One pass clears a suspect; one that is
- * suspect again after it was cleared needs four, then sixteen, each alone, and a loss in any of them is its second.
+ * A request that crashes servers only sometimes passes some of its trials. One pass clears a suspect; if it becomes suspect
+ * again it needs four, then sixteen, and a loss among these quarantines it.
  */
 export function stepQuarantine (state: QuarantineState, event: QuarantineEvent, options: StepOptions): Step {
   switch (event.type) {
@@ -43,15 +43,15 @@
 }
 
 function applyLoss (state: QuarantineState, { server, unsent, ago = 0 }: Extract<QuarantineEvent, { readonly type: 'lost' }>, options: StepOptions): Step {
-  const noted = recordLoss(state, server, options.now - ago)
-  const first = noted.lost.get(server)!
-  const there = [...noted.inFlight].filter(([exchange, other]) => other.server === server && other.began <= first && unsent?.has(exchange) !== true)
-  return accuse(noted, there.map(([, { fingerprint }]) => fingerprint), { server, at: first }, options)
+  const recorded = recordLoss(state, server, options.now - ago)
+  const firstAt = recorded.lost.get(server)!
+  const candidates = [...recorded.inFlight].filter(([exchange, other]) => other.server === server && other.began <= firstAt && unsent?.has(exchange) !== true)
+  return accuse(recorded, candidates.map(([, { fingerprint }]) => fingerprint), { server, at: firstAt }, options)
 }
 
 function recordLoss (state: QuarantineState, server: string, at: number): QuarantineState {
   const known = state.lost.get(server) ?? -Infinity
-  if (at - known < SAME_LOSS) return state
+  if (at - known < SAME_LOSS_WINDOW) return state
   return { ...state, lost: new Map(state.lost).set(server, at) }
 }
 
@@ -59,10 +59,10 @@
   const suspects = new Map([...state.suspects].filter(([, { until }]) => until > now))
   const accused: string[] = []
   for (const fingerprint of new Set(fingerprints)) {
-    const { losses = [], answered = [] } = suspects.get(fingerprint) ?? {}
-    if ([...losses, ...answered].some(other => other.server === loss.server && Math.abs(loss.at - other.at) < SAME_LOSS)) continue
+    const { losses = [], clearedLosses = [] } = suspects.get(fingerprint) ?? {}
+    if ([...losses, ...clearedLosses].some(other => other.server === loss.server && Math.abs(loss.at - other.at) < SAME_LOSS_WINDOW)) continue
     accused.push(fingerprint)
-    suspects.set(fingerprint, { losses: [...losses, loss], answered, passes: 0, until: now + keep })
+    suspects.set(fingerprint, { losses: [...losses, loss], clearedLosses, passes: 0, until: now + keep })
   }
   return { state: { ...state, suspects }, accused }
 }
@@ -71,8 +71,8 @@
   const suspect = state.suspects.get(fingerprint)
   if (suspect === undefined || suspect.losses.length === 0) return state
   const passes = suspect.passes + 1
-  const cleared = passes >= PASS_GROWTH ** (suspect.answered.length + suspect.losses.length - 1)
-  const next: Suspect = cleared ? { ...suspect, losses: [], answered: [...suspect.answered, ...suspect.losses], passes: 0 } : { ...suspect, passes }
+  const cleared = passes >= PASS_GROWTH ** (suspect.clearedLosses.length + suspect.losses.length - 1)
+  const next: Suspect = cleared ? { ...suspect, losses: [], clearedLosses: [...suspect.clearedLosses, ...suspect.losses], passes: 0 } : { ...suspect, passes }
   return { ...state, suspects: new Map(state.suspects).set(fingerprint, next) }
 }
 
--- a/src/routing/step-server-health.ts
+++ b/src/routing/step-server-health.ts
@@ -1,15 +1,18 @@
 import { failUnreachable } from '../kernel/unreachable.js'
 import type { ServerHealth } from './server-health.js'
 
-const FAILURES = 3
-const FIRST_EJECTION = 500
-const LONGEST_EJECTION = 30_000
+/** Failures in a row at which a server is ejected. */
+const MAX_FAILURES = 3
+/** Times in ms. */
+const MIN_EJECTION = 500
+const MAX_EJECTION = 30_000
 
 type HealthEvent = 'answered' | 'failed' | 'unreachable'
 
 /**
- * Ejects a server after three failures in a row, or at once when nothing listens there, for a time that doubles with
- * each ejection. When it has run out the server gets one request at a time, as a probe, until it answers.
+ * Applies the outcome of an exchange to a server's health; undefined is healthy. Ejects a server after repeated failures,
+ * or immediately if it is unreachable, for a time that doubles with each ejection. Afterwards the server gets one request
+ * at a time, as a probe, until it answers.
  */
 export function stepServerHealth (health: ServerHealth | undefined, event: HealthEvent, now: number): ServerHealth | undefined {
   const { failures, ejections, ejectedUntil } = health ?? { failures: 0, ejections: 0, ejectedUntil: 0 }
@@ -18,12 +21,12 @@
     case 'unreachable': return now < ejectedUntil ? health : eject(failures + 1, ejections, now)
     case 'failed':
       if (now < ejectedUntil) return health
-      if (ejections > 0 || failures + 1 >= FAILURES) return eject(failures + 1, ejections, now)
+      if (ejections > 0 || failures + 1 >= MAX_FAILURES) return eject(failures + 1, ejections, now)
       return { failures: failures + 1, ejections, ejectedUntil }
     default: return failUnreachable(event)
   }
 }
 
 function eject (failures: number, ejections: number, now: number): ServerHealth {
-  return { failures, ejections: ejections + 1, ejectedUntil: now + Math.min(LONGEST_EJECTION, FIRST_EJECTION * 2 ** ejections) }
+  return { failures, ejections: ejections + 1, ejectedUntil: now + Math.min(MAX_EJECTION, MIN_EJECTION * 2 ** ejections) }
 }
--- a/src/routing/trials.ts
+++ b/src/routing/trials.ts
@@ -16,9 +16,9 @@
 import type { TrialsEvent } from './trials-event.js'
 import type { TrialsState } from './trials-state.js'
 
-/** How often asks and holds are repeated, ms. */
+/** Interval at which asks and holds are repeated, ms. */
 const ASK_PERIOD = 100
-/** How often daemons repeat which suspects they know, ms: a frame may be lost, and another daemon may give trials out. */
+/** Interval at which daemons repeat which suspects they know, ms: a frame may be lost, or the coordinator may change. */
 const READY_PERIOD = 500
 
 interface WaitOptions { readonly deadline: number, readonly signal?: AbortSignal }
@@ -26,26 +26,26 @@
 type Outcome = Trial | 'cleared' | 'quarantined' | 'deadline'
 
 /**
- * Runs suspects apart. One daemon, by rendezvous over those that may own things, gives the trials of the whole fleet
- * out. Were it two for a moment, because daemons disagree about the members, two suspects could meet at one server:
- * each of the two lacks the word of daemons that tell the other, and so gives nothing out for seconds.
+ * Runs each suspect alone at its server. One daemon, selected by rendezvous hashing among the possible owners, is the
+ * trial coordinator of the fleet. While daemons disagree about the members there may be two, which could grant two
+ * trials at one server; but each waits for the daemons that report to the other, and grants none for seconds.
  */
 @scoped(Lifecycle.ContainerScoped)
 export class Trials implements Part {
   readonly extensions = [
-    peerHandlerPoint.of({ type: 'trial-ask', handle: ({ id, fingerprint, servers }, from) => { this.hearAsk({ id: String(id), fingerprint: String(fingerprint), servers: (servers as unknown[]).map(String) }, from) } }),
+    peerHandlerPoint.of({ type: 'trial-ask', handle: ({ id, fingerprint, servers }, from) => { this.receiveAsk({ id: String(id), fingerprint: String(fingerprint), servers: (servers as unknown[]).map(String) }, from) } }),
     peerHandlerPoint.of({ type: 'trial-hold', handle: ({ id, fingerprint, server }) => { this.apply({ type: 'hold', id: String(id), fingerprint: String(fingerprint), server: String(server) }) } }),
     peerHandlerPoint.of({ type: 'trial-ready', handle: ({ fingerprints }, from) => { this.apply({ type: 'ready', daemon: from, fingerprints: (fingerprints as unknown[]).map(String) }) } }),
-    peerHandlerPoint.of({ type: 'trial-done', handle: message => this.hearDone(message) }),
+    peerHandlerPoint.of({ type: 'trial-done', handle: message => this.receiveDone(message) }),
     peerHandlerPoint.of({ type: 'trial', handle: ({ id, server }) => { this.asks.get(String(id))?.(server === undefined ? 'quarantined' : String(server)) } })
   ]
 
   private state: TrialsState = { running: new Map(), waiting: [], ready: new Map() }
   private cancels: ReadonlyArray<() => void> = []
-  private held: ReadonlySet<string> = new Set()
+  private reportedHolds: ReadonlySet<string> = new Set()
   private readonly granted = new Map<string, { readonly fingerprint: string, readonly server: string }>()
   private readonly asks = new Map<string, (answer: string) => void>()
-  private count = 0
+  private askCount = 0
 
   constructor (
     @inject(Quarantine) private readonly quarantine: Quarantine,
@@ -54,47 +54,47 @@
     @inject(tokens.settings) private readonly settings: Settings,
     @inject(tokens.clock) private readonly clock: Clock
   ) {
-    // A moment later, when the exchanges that the lost server cut have ended.
+    // Delayed until the exchanges that the lost server cut have ended.
     quarantine.subscribe(fingerprints => {
       clock.after(1, () => {
-        this.tellHolds()
-        this.tellReady(fingerprints)
+        this.reportHolds()
+        this.reportReady(fingerprints)
       })
     })
   }
 
   async start (): Promise<void> {
-    this.cancels = [this.clock.every(ASK_PERIOD, () => this.tellHolds()), this.clock.every(READY_PERIOD, () => this.remind())]
+    this.cancels = [this.clock.every(ASK_PERIOD, () => this.reportHolds()), this.clock.every(READY_PERIOD, () => this.resendRecentLosses())]
   }
 
   async stop (): Promise<void> {
     for (const cancel of this.cancels) cancel()
   }
 
-  /** Resolves with leave to run at one of the servers listed, or with why there is no need or no use for it. */
+  /** Resolves with a trial at one of the listed servers, or with the reason why none is needed or possible. */
   async wait (fingerprint: string, listServers: () => readonly string[], { deadline, signal }: WaitOptions): Promise<Outcome> {
-    const id = `${this.settings.instance}.${this.clock.date()}.${this.count++}`
+    const id = `${this.settings.instance}.${this.clock.date()}.${this.askCount++}`
     return await new Promise<Outcome>(resolve => {
       const cancel = this.clock.every(ASK_PERIOD, () => check())
       const end = (): void => {
         cancel()
         this.granted.delete(id)
-        if (this.asks.delete(id)) this.send({ type: 'trial-done', id, ...this.quarantine.listSettling().suspects.find(other => other.fingerprint === fingerprint) })
+        if (this.asks.delete(id)) this.send({ type: 'trial-done', id, ...this.quarantine.listRecentLosses().suspects.find(other => other.fingerprint === fingerprint) })
       }
       const finish = (outcome: Outcome): void => {
         if (typeof outcome === 'string') end()
         resolve(outcome)
       }
       const check = (): void => {
-        const standing = this.quarantine.check(fingerprint)
-        if (standing === 'quarantined') finish('quarantined')
-        else if (standing === 'clear') finish('cleared')
+        const status = this.quarantine.check(fingerprint)
+        if (status === 'quarantined') finish('quarantined')
+        else if (status === 'clear') finish('cleared')
         else if (this.clock.now() >= deadline || signal?.aborted === true) finish('deadline')
         else this.send({ type: 'trial-ask', id, fingerprint, servers: listServers() })
       }
       this.asks.set(id, answer => {
         if (this.granted.has(id)) return
-        // From here on it is told as what is in flight is, so that another daemon that comes to give trials out knows.
+        // From now on reported as a hold, so that a new coordinator knows of it.
         cancel()
         if (answer !== 'quarantined') this.granted.set(id, { fingerprint, server: answer })
         finish(answer === 'quarantined' ? answer : { server: answer, end })
@@ -104,18 +104,18 @@
   }
 
   /**
-   * Copies of a suspect may be in flight through several daemons when the first of them ends its server. Were they
-   * not known, another suspect could be tried beside one, and be blamed for what the copy does.
+   * Reports the suspect exchanges in flight from this daemon, and those that have ended. Copies of a suspect may be in
+   * flight from several daemons when the first crashes its server; another suspect must not be tried beside one of them.
    */
-  private tellHolds (): void {
+  private reportHolds (): void {
     const holds = this.quarantine.listSuspectExchanges().map(hold => ({ ...hold, id: this.nameHold(hold) }))
     const held = new Set(holds.map(({ id }) => id))
     for (const { id, fingerprint, server } of holds) this.send({ type: 'trial-hold', id, fingerprint, server })
-    for (const id of this.held) if (!held.has(id)) this.send({ type: 'trial-done', id })
-    this.held = held
+    for (const id of this.reportedHolds) if (!held.has(id)) this.send({ type: 'trial-done', id })
+    this.reportedHolds = held
   }
 
-  private tellReady (fingerprints: readonly string[]): void {
+  private reportReady (fingerprints: readonly string[]): void {
     if (fingerprints.length > 0) this.send({ type: 'trial-ready', fingerprints })
   }
 
@@ -125,40 +125,40 @@
   }
 
   /**
-   * Repeats what is new: to the daemon that gives trials out, and from there to those that haven't said that they know
-   * it. A frame may be lost, and a daemon that never heard of a suspect sends the next copy of it to a third server.
+   * Resends recent accusations to the coordinator, or from the coordinator to the daemons that haven't reported ready. A
+   * daemon that missed one would send the next copy of the suspect to a third server.
    */
-  private remind (): void {
-    const { suspects } = this.quarantine.listSettling()
-    this.tellReady(suspects.map(({ fingerprint }) => fingerprint))
-    const lead = this.findLead()
-    if (lead !== this.settings.instance) return this.quarantine.remind(lead)
+  private resendRecentLosses (): void {
+    const { suspects } = this.quarantine.listRecentLosses()
+    this.reportReady(suspects.map(({ fingerprint }) => fingerprint))
+    const coordinator = this.findCoordinator()
+    if (coordinator !== this.settings.instance) return this.quarantine.resendAccusations(coordinator)
     for (const { instance } of this.members.all()) {
-      this.quarantine.remind(instance.name, fingerprint => this.state.ready.get(fingerprint)?.daemons.has(instance.name) === true)
+      this.quarantine.resendAccusations(instance.name, fingerprint => this.state.ready.get(fingerprint)?.daemons.has(instance.name) === true)
     }
   }
 
-  private findLead (): string {
+  private findCoordinator (): string {
     return rankOwners('trials', this.members.owners())[0] ?? this.settings.instance
   }
 
   private send (message: PeerMessage): void {
-    const lead = this.findLead()
-    if (lead !== this.settings.instance) this.links.send(lead, message)
-    else if (message.type === 'trial-done') this.hearDone(message)
-    else if (message.type === 'trial-ready') this.apply({ type: 'ready', daemon: lead, fingerprints: message.fingerprints as readonly string[] })
+    const coordinator = this.findCoordinator()
+    if (coordinator !== this.settings.instance) this.links.send(coordinator, message)
+    else if (message.type === 'trial-done') this.receiveDone(message)
+    else if (message.type === 'trial-ready') this.apply({ type: 'ready', daemon: coordinator, fingerprints: message.fingerprints as readonly string[] })
     else if (message.type === 'trial-hold') this.apply({ type: 'hold', id: String(message.id), fingerprint: String(message.fingerprint), server: String(message.server) })
-    else this.hearAsk(message as unknown as { id: string, fingerprint: string, servers: readonly string[] }, lead)
+    else this.receiveAsk(message as unknown as { id: string, fingerprint: string, servers: readonly string[] }, coordinator)
   }
 
-  /** An asker's accusations come over the same link before its next message, so that none is granted past them. */
-  private hearAsk ({ id, fingerprint, servers }: { readonly id: string, readonly fingerprint: string, readonly servers: readonly string[] }, from: string): void {
+  /** Handles an ask. Its sender's accusations arrive before it over the same link, so that no trial is granted without them. */
+  private receiveAsk ({ id, fingerprint, servers }: { readonly id: string, readonly fingerprint: string, readonly servers: readonly string[] }, from: string): void {
     if (this.quarantine.check(fingerprint) === 'quarantined') this.answer(from, id, undefined)
     else this.apply({ type: 'ask', id, fingerprint, servers })
   }
 
-  /** A trial that ended its server says so itself, so that no copy is tried where the word of the loss was lost. */
-  private hearDone ({ id, fingerprint, server, ago }: PeerMessage): void {
+  /** Ends an ask, trial or hold. The end of a trial that crashed its server includes the loss, as the accusation may be lost. */
+  private receiveDone ({ id, fingerprint, server, ago }: PeerMessage): void {
     if (server !== undefined) this.quarantine.accuse([String(fingerprint)], String(server), Number(ago))
     this.apply({ type: 'done', id: String(id) })
   }
--- a/test/routing/step-progress.test.ts
+++ b/test/routing/step-progress.test.ts
@@ -4,13 +4,13 @@
 import { stepProgress } from '../../src/routing/step-progress.js'
 import type { StreamProgress } from '../../src/routing/stream-progress.js'
 
-const EMPTY: StreamProgress = { given: 0, carried: 0, finished: false, done: false, resumable: true }
+const EMPTY: StreamProgress = { tokenCount: 0, earlierTokenCount: 0, finished: false, done: false, resumable: true }
 
 function showChunk (id: string, delta: object, finish: string | null = null): string {
   return `data: ${JSON.stringify({ id, choices: [{ index: 0, delta, finish_reason: finish }] })}\n\n`
 }
 
-/** What a server that starts after `given` tokens writes. */
+/** Formats the answer of a server that starts after `given` tokens. */
 function showAnswer (id: string, words: readonly string[], given: number): string {
   const chunks = words.slice(given).map((word, i) => showChunk(id, { content: word }, given + i === words.length - 1 ? 'stop' : null))
   return [showChunk(id, { role: 'assistant', content: '' }), ...chunks, 'data: [DONE]\n\n'].join('')
@@ -23,7 +23,7 @@
   return { ids: new Set(chunks.map(({ id }) => id)), words: deltas.map(({ content }) => content).filter(Boolean), roles: deltas.filter(({ role }) => role !== undefined).length, done: events.length - chunks.length }
 }
 
-test('the same events come out however the bytes are split', t => {
+test('the events are the same however the bytes are split', t => {
   const text = showAnswer('a', ['tide ', 'ähre ', '潮'], 0)
   const whole = new SseReader().push(Buffer.from(text)).map(({ raw }) => raw)
   t.is(whole.join(''), text)
@@ -36,7 +36,7 @@
   }), { seed: 7, numRuns: 300 }))
 })
 
-// Servers are cut again and again, at any byte. The caller sees each token once, one role, one id, one end.
+// Guards against repeated tokens, roles, ids or ends in an answer that several servers continue.
 test('an answer cut at any byte of any server and resumed is relayed once', t => {
   const words = ['one ', 'two ', 'three ', 'four ', 'five']
   t.notThrows(() => fc.assert(fc.property(fc.array(fc.double({ min: 0, max: 1, noNaN: true }), { maxLength: 6 }), cuts => {
@@ -44,7 +44,7 @@
     let relayed = ''
     for (const [n, share] of [...cuts, 1].entries()) {
       if (progress.done || progress.finished) break
-      const bytes = Buffer.from(showAnswer(`id-${n}`, words, progress.given))
+      const bytes = Buffer.from(showAnswer(`id-${n}`, words, progress.tokenCount))
       for (const event of new SseReader().push(bytes.subarray(0, Math.floor(share * bytes.length)))) {
         const step = stepProgress(progress, event)
         progress = step.progress
