--- a/src/entry/addresses.ts
+++ b/src/entry/addresses.ts
@@ -13,7 +13,7 @@
 import { routePoint } from './route-point.js'
 
 /** For the way of an answer to its caller, who keeps it from when it comes, ms. */
-const TRAVEL = 250
+const NETWORK_DELAY = 250
 
 /** Tells callers which entry addresses to use, and for how long they may keep the answer. */
 @scoped(Lifecycle.ContainerScoped)
@@ -49,7 +49,7 @@
   async leave (): Promise<void> {
     await this.members.leave()
     if (this.longestKeep === 0) return
-    await pauseFor(this.clock, this.longestKeep + TRAVEL)
+    await pauseFor(this.clock, this.longestKeep + NETWORK_DELAY)
   }
 
   private readCaller (req: Request): string {
--- a/src/entry/choose-addresses.ts
+++ b/src/entry/choose-addresses.ts
@@ -1,7 +1,7 @@
 import { rankOwners } from '../coordination/rank-owners.js'
 import type { Member } from '../peers/member.js'
 
-const ADDRESSES = 3
+const MAX_ADDRESSES = 3
 
 /**
  * The daemons that a caller should use: at most three, each of another failure domain while there are such, another
@@ -11,5 +11,5 @@
   const open = new Map(members.filter(({ state, ready }) => state === 'alive' && ready).map(member => [member.instance.name, member]))
   const ranked = rankOwners(caller, [...open.keys()]).map(name => open.get(name)!)
   const first = ranked.filter((member, i) => ranked.findIndex(other => other.instance.failureDomain === member.instance.failureDomain) === i)
-  return [...first, ...ranked.filter(member => !first.includes(member))].slice(0, ADDRESSES)
+  return [...first, ...ranked.filter(member => !first.includes(member))].slice(0, MAX_ADDRESSES)
 }
--- a/src/entry/keyed-claims.ts
+++ b/src/entry/keyed-claims.ts
@@ -14,21 +14,21 @@
 const KIND = 'keyed'
 const RETRY_PERIOD = 1_000
 const MAX_UNSETTLED = 1_000
-const DRAIN_BOUND = 5_000
+const STOP_TIMEOUT = 5_000
 /** How long after its call a write can still take effect, ms. */
-const LATE_WRITE = 10_000
+const LATE_WRITE_TIME = 10_000
 
 /** What a claim ends as; `release`: nothing was sent, and the key is free again. */
 type Settlement = Exclude<KeyedClaim['outcome'], { readonly type: 'open' }> | 'release'
 
 /** A claim that this process created, and the version at which it was seen to stand. */
-interface StandingClaim { readonly name: string, readonly claim: KeyedClaim, readonly version: number }
+interface StoredClaim { readonly name: string, readonly claim: KeyedClaim, readonly version: number }
 
 /**
  * What is still to be recorded. A claim of version 0 was never seen to stand, and may come to stand until `expected`,
  * in monotonic ms, because a slow write took effect late.
  */
-interface Unsettled extends StandingClaim { readonly settlement: Settlement, readonly expected?: number }
+interface Unsettled extends StoredClaim { readonly settlement: Settlement, readonly mayAppearUntil?: number }
 
 /**
  * The claims of keyed requests at the platform. A claim is created once and changed only under its id; what can't be
@@ -57,7 +57,7 @@
    */
   async stop (): Promise<void> {
     this.cancel()
-    const end = this.clock.now() + DRAIN_BOUND
+    const end = this.clock.now() + STOP_TIMEOUT
     while (this.unsettled.length > 0 && this.clock.now() < end) {
       await this.settleAll()
       if (this.unsettled.length > 0) await pauseFor(this.clock, RETRY_PERIOD / 4)
@@ -77,7 +77,7 @@
    * what stands now isn't ours, so that nothing is sent, and the caller gets the other claim's outcome. Without this a
    * key that was answered long ago was refused whenever the reply to the second claim was lost.
    */
-  async create (name: string, claim: KeyedClaim, version: number): Promise<Result<StandingClaim, StoreError>> {
+  async create (name: string, claim: KeyedClaim, version: number): Promise<Result<StoredClaim, StoreError>> {
     const written = await this.store.put(KIND, name, claim, version, 'caller')
     if (written.ok) return Ok({ name, claim, version: written.val.version })
     if (written.val.type === 'unknown' || written.val.type === 'unavailable') {
@@ -85,7 +85,7 @@
       if (read.ok && read.val.value.id === claim.id) return Ok({ name, claim, version: read.val.version })
       // Another claim stands at a version that ours wasn't based on: ours can't come to stand any more.
       if (read.ok && read.val.version !== version) return Err({ type: 'conflict', version: read.val.version })
-      this.addUnsettled({ name, claim, version: 0, settlement: 'release', expected: this.clock.now() + LATE_WRITE })
+      this.addUnsettled({ name, claim, version: 0, settlement: 'release', mayAppearUntil: this.clock.now() + LATE_WRITE_TIME })
       if (read.ok) return Err({ type: 'conflict', version: read.val.version })
     }
     return Err(written.val)
@@ -95,7 +95,7 @@
    * Records how it ended, or releases it because nothing was sent; now or, if the platform is down, later. True only
    * once that is on record, or the claim has been seen to be no longer this one.
    */
-  async settle (claim: StandingClaim, settlement: Settlement): Promise<boolean> {
+  async settle (claim: StoredClaim, settlement: Settlement): Promise<boolean> {
     const settled = await this.settleNow({ ...claim, settlement })
     if (!settled) this.addUnsettled({ ...claim, settlement })
     return settled
@@ -135,7 +135,7 @@
    */
   private async settleAfterRead (entry: Unsettled): Promise<boolean> {
     const read = await this.read(entry.name)
-    if (read.err) return read.val.type === 'missing' && entry.version === 0 && this.clock.now() >= (entry.expected ?? 0)
+    if (read.err) return read.val.type === 'missing' && entry.version === 0 && this.clock.now() >= (entry.mayAppearUntil ?? 0)
     const { version, value } = read.val
     if (version < entry.version) return false
     if (value.id !== entry.claim.id || value.outcome.type === 'answered') return true
--- a/src/entry/keyed-requests.ts
+++ b/src/entry/keyed-requests.ts
@@ -22,15 +22,15 @@
 import type { KeyedOutcome } from './keyed-outcome.js'
 
 /** Longest answer that is recorded, in bytes: base64 and the rest stay under the 1 MB of a value. */
-const KEPT_BYTES = 512_000
+const MAX_RECORDED_BYTES = 512_000
 const RETRY_AFTER = 2_000
 /** How long a request with a key in progress is held for its outcome, ms. */
-const WAIT = 10_000
+const MAX_WAIT = 10_000
 const FIRST_POLL = 100
-const LAST_POLL = 1_000
+const MAX_POLL = 1_000
 
 type Settlement = Parameters<KeyedClaims['settle']>[1]
-type StandingClaim = Parameters<KeyedClaims['settle']>[0]
+type StoredClaim = Parameters<KeyedClaims['settle']>[0]
 
 /** Runs requests that carry a key: each key of a caller at most once, whichever daemons it is sent through. */
 @scoped(Lifecycle.ContainerScoped)
@@ -58,14 +58,14 @@
   async send (request: ServerRequest, key: string): Promise<KeyedOutcome> {
     const name = hash(request.caller, key)
     const fingerprint = hash(request.service, request.method, request.path, request.body ?? '')
-    const end = Math.min(request.deadline, this.clock.now() + WAIT)
-    for (let pause = FIRST_POLL, version = 0; ; pause = Math.min(LAST_POLL, pause * 2)) {
+    const end = Math.min(request.deadline, this.clock.now() + MAX_WAIT)
+    for (let pause = FIRST_POLL, version = 0; ; pause = Math.min(MAX_POLL, pause * 2)) {
       if (version >= 0 && !this.running.has(name)) {
         const claimed = await this.begin(name, this.buildClaim(request, fingerprint), version, request)
         if (claimed !== 'taken') return claimed
       }
       await this.wait(this.running.get(name), end - this.clock.now())
-      const next = await this.follow(name, fingerprint)
+      const next = await this.resolveClaim(name, fingerprint)
       if (typeof next === 'object') return next
       version = next
       // At once the first time only: an old read may go on calling free what a write finds taken.
@@ -103,47 +103,47 @@
     }
     this.sent.add(claim.id)
     const answer = await this.gate.send({ ...request, idempotent: false, signal: undefined })
-    return answer.ok ? await this.takeAnswer(created.val, answer.val) : await this.takeRefusal(created.val, answer.val)
+    return answer.ok ? await this.settleAnswer(created.val, answer.val) : await this.settleRefusal(created.val, answer.val)
   }
 
   /** Forgets that it was sent once that is on record. */
-  private async settle (standing: StandingClaim, settlement: Settlement): Promise<void> {
-    if (await this.claims.settle(standing, settlement)) this.sent.delete(standing.claim.id)
+  private async settle (stored: StoredClaim, settlement: Settlement): Promise<void> {
+    if (await this.claims.settle(stored, settlement)) this.sent.delete(stored.claim.id)
   }
 
-  private async takeRefusal (standing: StandingClaim, refusal: Refusal): Promise<KeyedOutcome> {
+  private async settleRefusal (stored: StoredClaim, refusal: Refusal): Promise<KeyedOutcome> {
     if (refusal.ran === 'unknown') {
-      await this.settle(standing, { type: 'unknown', cause: refusal.detail })
+      await this.settle(stored, { type: 'unknown', cause: refusal.detail })
       return { type: 'unknown', cause: refusal.detail }
     }
-    this.sent.delete(standing.claim.id)
-    await this.settle(standing, 'release')
+    this.sent.delete(stored.claim.id)
+    await this.settle(stored, 'release')
     return { type: 'refused', refusal }
   }
 
   /** Records the answer, then gives it: one who asks again gets the same. One that is cut ends as unknown. */
-  private async takeAnswer (standing: StandingClaim, answer: ServerAnswer): Promise<KeyedOutcome> {
-    const collected = await readAnswer(answer, KEPT_BYTES)
+  private async settleAnswer (stored: StoredClaim, answer: ServerAnswer): Promise<KeyedOutcome> {
+    const collected = await readAnswer(answer, MAX_RECORDED_BYTES)
     if (collected.type === 'cut') {
       const cause = 'its answer was cut'
-      await this.settle(standing, { type: 'unknown', cause })
+      await this.settle(stored, { type: 'unknown', cause })
       return { type: 'unknown', cause }
     }
     const { status, headers: { 'content-type': type } } = answer
     const contentType = type === undefined ? undefined : String(type)
     const body = collected.type === 'whole' ? collected.body.toString('base64') : undefined
-    await this.settle(standing, { type: 'answered', status, contentType, body })
+    await this.settle(stored, { type: 'answered', status, contentType, body })
     return { type: 'answered', status, contentType, body: collected.body, replayed: false, run: answer }
   }
 
   /** What a claim that stands comes to; else the version to take it at, or -1 to wait for it. */
-  private async follow (name: string, fingerprint: string): Promise<KeyedOutcome | number> {
+  private async resolveClaim (name: string, fingerprint: string): Promise<KeyedOutcome | number> {
     const read = await this.claims.read(name)
     if (read.err) return read.val.type === 'missing' ? 0 : this.refuse(read.val)
     const claim = read.val.value
     const own = claim.holder === this.settings.instance && claim.run === this.run
     const ownUnsent = own && !this.sent.has(claim.id) && !this.running.has(name)
-    const decision = planClaim(claim, { now: this.clock.date(), fingerprint, holderGone: !own && this.isGone(claim), ownUnsent })
+    const decision = planClaim(claim, { now: this.clock.date(), fingerprint, holderGone: !own && this.isHolderGone(claim), ownUnsent })
     switch (decision) {
       case 'take': return read.val.version
       case 'wait': return -1
@@ -160,7 +160,7 @@
   }
 
   /** Never right after a start or a pause, when this daemon has heard from nobody yet. */
-  private isGone ({ holder, run }: KeyedClaim): boolean {
+  private isHolderGone ({ holder, run }: KeyedClaim): boolean {
     if (this.members.owners().length === 0) return false
     const member = this.members.all().find(({ instance }) => instance.name === holder)
     return member === undefined || (member.run > 0 && member.run !== run)
--- a/src/entry/online-routes.ts
+++ b/src/entry/online-routes.ts
@@ -16,7 +16,7 @@
 import { Timeline } from '../observe/timeline.js'
 import type { ServerAnswer } from '../routing/server-answer.js'
 import type { ServerRequest } from '../routing/server-request.js'
-import { findAnswerEntry } from './find-answer-entry.js'
+import { findAccountEntry } from './find-account-entry.js'
 import type { KeyedOutcome } from './keyed-outcome.js'
 import { KeyedRequests } from './keyed-requests.js'
 import type { Route } from './route.js'
@@ -92,9 +92,9 @@
   private async forward (req: Request, res: Response, caller: string, { name, service, path }: Target, body: Buffer): Promise<void> {
     const id = String(req.headers['x-request-id'] ?? randomUUID())
     const { limits, models } = this.configuration.value
-    const gone = new AbortController()
+    const disconnected = new AbortController()
     res.setHeader('x-request-id', id)
-    res.on('close', () => gone.abort())
+    res.on('close', () => disconnected.abort())
     const asked = this.clock.now()
     this.account.count(caller, name, 'online', { type: 'asked' })
     this.timeline.record({ part: 'entry', what: 'asked', request: id, detail: `${caller} for ${name}` })
@@ -111,7 +111,7 @@
       idempotent: service.idempotent,
       deadline: this.clock.now() + limits.deadline,
       limit: models[service.model ?? '']?.maxInFlight ?? PLAIN_LIMIT,
-      signal: gone.signal
+      signal: disconnected.signal
     }
     const key = req.headers['idempotency-key']
     if (key !== undefined) return await this.sendKeyed(res, request, String(key), asked)
@@ -132,7 +132,7 @@
     }
     const outcome = await this.keyed.send(request, key)
     await sendKeyedOutcome(res, outcome)
-    this.account.count(caller, service, 'online', findKeyedEntry(outcome, res, this.clock.now() - asked))
+    this.account.count(caller, service, 'online', findKeyedAccountEntry(outcome, res, this.clock.now() - asked))
     this.timeline.record({ part: 'entry', what: outcome.type, request: id })
   }
 
@@ -149,7 +149,7 @@
       answer.end(true)
       const failure = answer.findFailure?.()
       const whole = this.clock.now() - asked
-      this.account.count(caller, service, 'online', findAnswerEntry({ status: answer.status, failure, tokens: answer.countTokens?.() ?? 0, first, whole }))
+      this.account.count(caller, service, 'online', findAccountEntry({ status: answer.status, failure, tokens: answer.countTokens?.() ?? 0, first, whole }))
       this.timeline.record({ part: 'entry', what: failure ?? 'answered', request: id })
       if (failure !== undefined) res.req.socket.end()
     } catch {
@@ -162,11 +162,11 @@
 }
 
 /** Once it was sent: a long answer is still coming until then. The tokens of a run are counted with it, not with replays of its answer. */
-function findKeyedEntry (outcome: KeyedOutcome, res: Response, whole: number): AccountEntry {
+function findKeyedAccountEntry (outcome: KeyedOutcome, res: Response, whole: number): AccountEntry {
   if (outcome.type !== 'answered') return { type: 'refused', cause: outcome.type === 'refused' ? outcome.refusal.cause : outcome.type }
   const { status, body, run } = outcome
   const isCut = !Buffer.isBuffer(body) && !res.writableFinished
-  return findAnswerEntry({ status, failure: isCut ? 'cut' : run?.findFailure?.(), tokens: run?.countTokens?.() ?? 0, whole })
+  return findAccountEntry({ status, failure: isCut ? 'cut' : run?.findFailure?.(), tokens: run?.countTokens?.() ?? 0, whole })
 }
 
 function readModel (body: Buffer): string | undefined {
--- a/src/entry/plan-claim.ts
+++ b/src/entry/plan-claim.ts
@@ -2,7 +2,7 @@
 import type { KeyedClaim } from './keyed-claim.js'
 
 /** How long a key is remembered, ms. */
-const KEEP = 86_400_000
+const KEY_LIFETIME = 86_400_000
 /** By how much the clocks of two daemons may differ, ms. */
 const CLOCK_SLACK = 10_000
 
@@ -25,7 +25,7 @@
   /** Whether this process holds it and has sent nothing. */
   readonly ownUnsent: boolean
 }): ClaimDecision {
-  if (now - claim.at >= KEEP) return 'take'
+  if (now - claim.at >= KEY_LIFETIME) return 'take'
   if (claim.fingerprint !== fingerprint) return 'mismatch'
   switch (claim.outcome.type) {
     case 'answered': return 'replay'
--- a/src/entry/routed-entry.ts
+++ b/src/entry/routed-entry.ts
@@ -27,7 +27,7 @@
 import { ResponseSink } from './response-sink.js'
 import type { RoutedSettings } from './routed-settings.js'
 import { sendRoutedRefusal } from './send-routed-refusal.js'
-import { StartWait } from './start-wait.js'
+import { StartupWait } from './startup-wait.js'
 
 const HEADERS_TIMEOUT = 10_000
 const TIMEOUT_CHECK = 1_000
@@ -36,18 +36,18 @@
 const KEEP_ALIVE = 20
 const KEEP_ALIVE_TIMEOUT = 30_000
 /** Some callers keep an answer of the addresses for three times as long as they were told. */
-const KEPT_TIMES = 3
+const ADDRESS_KEEP_FACTOR = 3
 /** For the way of an answer to its caller, ms. */
-const TRAVEL = 300
+const NETWORK_DELAY = 300
 /** A connection idle for this long while closing has no request on its way, ms: several round trips to callers. */
 const CLOSE_IDLE_AFTER = 400
 /** Left of the time to end for what is still being answered, ms. */
-const END_MARGIN = 700
+const SHUTDOWN_MARGIN = 700
 const NO_SERVICE_RETRY = 300
 /** Callers that come to a daemon that knows nothing yet are spread by this share either way. */
 const NOT_READY_SPREAD = 0.3
 /** Below this share of the longest time that callers of a route give, one has tried before. */
-const RETURNING_SHARE = 0.97
+const RETRY_SHARE = 0.97
 const DEFAULT_DEADLINE = 60_000
 
 /** The door for requests by host and path: finds their route and passes them on, or answers what can't be. */
@@ -55,9 +55,9 @@
 export class RoutedEntry implements Part {
   private readonly server: Server
   private readonly connections: CallerConnections
-  private readonly startWait: StartWait
+  private readonly startupWait: StartupWait
   /** By route, for as long as its configuration is held: the longest time that a caller has given, ms. */
-  private readonly longest = new WeakMap<Route, number>()
+  private readonly longestTimeouts = new WeakMap<Route, number>()
 
   constructor (
     @inject(tokens.routed) private readonly settings: RoutedSettings,
@@ -77,9 +77,9 @@
     this.server = createAppServer(app, { headersTimeout: HEADERS_TIMEOUT, connectionsCheckingInterval: TIMEOUT_CHECK, keepAliveTimeout: KEEP_ALIVE_TIMEOUT, maxHeaderSize: MAX_HEADER_BYTES, requestTimeout: 0 })
     this.connections = new CallerConnections(this.server, clock, { keepAlive: KEEP_ALIVE, closeIdleAfter: CLOSE_IDLE_AFTER })
     this.server.on('clientError', (_error, socket) => socket.destroy())
-    this.startWait = new StartWait({
+    this.startupWait = new StartupWait({
       clock,
-      isKnown: () => configuration.value.version > 0 && fleet.hasServers,
+      isLoaded: () => configuration.value.version > 0 && fleet.hasServers,
       subscribe: listener => {
         const stops = [configuration.subscribe(listener), fleet.subscribe(listener)]
         return () => { for (const stop of stops) stop() }
@@ -101,9 +101,9 @@
    */
   async drain (): Promise<void> {
     const { addressKeep, shutdownTime } = this.settings
-    const end = this.clock.now() + shutdownTime - END_MARGIN
+    const end = this.clock.now() + shutdownTime - SHUTDOWN_MARGIN
     void this.members.leave()
-    await pauseFor(this.clock, KEPT_TIMES * addressKeep + TRAVEL)
+    await pauseFor(this.clock, ADDRESS_KEEP_FACTOR * addressKeep + NETWORK_DELAY)
     this.log.write('info', 'entry', 'closes its connections', { connections: this.connections.size })
     await Promise.race([this.connections.close(), pauseFor(this.clock, Math.max(0, end - this.clock.now()))])
   }
@@ -124,9 +124,9 @@
   }
 
   private async serve (req: IncomingMessage, res: ServerResponse, arrived: number): Promise<void> {
-    const gone = new AbortController()
-    res.once('close', () => { if (!res.writableFinished) gone.abort() })
-    if (!await this.startWait.wait() && this.configuration.value.version === 0) return this.refuseUnready(req, res)
+    const disconnected = new AbortController()
+    res.once('close', () => { if (!res.writableFinished) disconnected.abort() })
+    if (!await this.startupWait.wait() && this.configuration.value.version === 0) return this.refuseUnready(req, res)
     const { version, routes = {}, limits } = this.configuration.value
     const call = this.dialect.readJobCall(req)
     if (call !== undefined) return await this.jobs.answer(call, res)
@@ -159,21 +159,21 @@
       arrived,
       asked: arrived - this.estimateElapsed(route, head.left),
       deadline: arrived + left,
-      signal: gone.signal
+      signal: disconnected.signal
     }, service, new ResponseSink(res))
   }
 
   /** How long ago a caller first asked, ms: one that comes again has less time left than the route's callers begin with. */
   private estimateElapsed (route: Route, left: number | undefined): number {
     if (left === undefined) return 0
-    const longest = Math.max(left, this.longest.get(route) ?? 0)
-    this.longest.set(route, longest)
-    return left < longest * RETURNING_SHARE ? longest - left : 0
+    const longest = Math.max(left, this.longestTimeouts.get(route) ?? 0)
+    this.longestTimeouts.set(route, longest)
+    return left < longest * RETRY_SHARE ? longest - left : 0
   }
 
   private refuseUnready (req: IncomingMessage, res: ServerResponse): void {
     req.resume()
-    sendRoutedRefusal(res, { cause: 'platform', ran: 'not run', retryAfter: this.forwarder.random.spread(this.startWait.retryAfter, NOT_READY_SPREAD), detail: 'this daemon knows no configuration yet' })
+    sendRoutedRefusal(res, { cause: 'platform', ran: 'not run', retryAfter: this.forwarder.random.spread(this.startupWait.retryAfter, NOT_READY_SPREAD), detail: 'this daemon knows no configuration yet' })
   }
 }
 
--- a/src/jobs/count-unnoted.ts
+++ /dev/null
@@ -1,8 +0,0 @@
-import type { ItemProgress } from './item-progress.js'
-import type { ItemState } from './item-state.js'
-
-/** Events of unfinished items that a note of their progress doesn't hold. */
-export function countUnnoted (items: ReadonlyArray<Pick<ItemState, 'item' | 'last' | 'phase'>>, noted: readonly ItemProgress[]): number {
-  const known = new Map(noted.map(({ id, last }) => [id, last]))
-  return items.reduce((sum, { item, last, phase }) => sum + (phase === 'ended' ? 0 : Math.max(0, (last ?? 0) - (known.get(item.id) ?? 0))), 0)
-}
--- a/src/jobs/ended-job-lookup.ts
+++ b/src/jobs/ended-job-lookup.ts
@@ -14,19 +14,19 @@
 import { JobRecords } from './job-records.js'
 
 /** Oldest read of the store, ms, that answers another question too. */
-const READ_KEPT = 800
+const MAX_READ_AGE = 800
 /** How long the answer of a hub is waited for, ms: the way there and back, and a read of the store. */
-const HUB_TIMEOUT = 400
+const LEADER_TIMEOUT = 400
 /** How long a hub that gave no answer is passed over, ms. Without that, each daemon of its failure domain reads the store for as long as the hub is a member. */
-const PASS_TIME = 5_000
+const LEADER_SKIP_TIME = 5_000
 
-interface Question { readonly jobs: readonly string[] }
+interface LookupRequest { readonly jobs: readonly string[] }
 
 /** Those of the jobs that have ended, and how old the read of the store is that says so, ms. */
-interface Answer { readonly ended: readonly string[], readonly age: number }
+interface LookupResponse { readonly ended: readonly string[], readonly age: number }
 
 /** Those of the jobs that have ended; of the others none had at `seen`, monotonic ms. */
-interface FoundEnds { readonly ended: readonly string[], readonly seen: number }
+interface EndedJobs { readonly ended: readonly string[], readonly readAt: number }
 
 /**
  * Which jobs have ended, by the store. The hub of a failure domain reads the store for all daemons of it that ask within a moment, so that
@@ -36,13 +36,13 @@
 @scoped(Lifecycle.ContainerScoped)
 export class EndedJobLookup {
   readonly extensions
-  private readonly calls: MemberCalls<Question, Answer>
+  private readonly calls: MemberCalls<LookupRequest, LookupResponse>
   private readonly mirror = new StoreMirror<boolean>()
   /** Begin of the last read that succeeded, monotonic ms. */
-  private seen = -Infinity
+  private readAt = -Infinity
   private reading: Promise<Result<number, StoreError>> | undefined
   /** Hubs that gave no answer: until when the next in rank is asked, monotonic ms. */
-  private readonly passedUntil = new Map<string, number>()
+  private readonly skippedUntil = new Map<string, number>()
 
   constructor (
     @inject(JobRecords) private readonly records: JobRecords,
@@ -54,26 +54,26 @@
   ) {
     this.calls = new MemberCalls({ links, clock, name: 'job ends', handle: async ({ jobs }) => await this.answer(jobs) })
     this.extensions = this.calls.extensions
-    pauses.subscribe(() => { this.seen = -Infinity })
+    pauses.subscribe(() => { this.readAt = -Infinity })
   }
 
-  async ask (jobs: readonly string[]): Promise<Result<FoundEnds, StoreError>> {
-    return await this.askHub(jobs) ?? (await this.read()).map(seen => ({ ended: this.filterEnded(jobs), seen }))
+  async find (jobs: readonly string[]): Promise<Result<EndedJobs, StoreError>> {
+    return await this.askLeader(jobs) ?? (await this.read()).map(readAt => ({ ended: this.filterEnded(jobs), readAt }))
   }
 
   /** Undefined where this daemon is the hub, or there is no answer. */
-  private async askHub (jobs: readonly string[]): Promise<Result<FoundEnds, StoreError> | undefined> {
+  private async askLeader (jobs: readonly string[]): Promise<Result<EndedJobs, StoreError> | undefined> {
     const { instance, failureDomain } = this.settings
     const asked = this.clock.now()
-    const hub = findDomainLeader(this.members.all().filter(member => asked >= (this.passedUntil.get(member.instance.name) ?? -Infinity)), failureDomain)
-    if (hub === undefined || hub === instance) return undefined
-    const answer = await this.calls.call(hub, { jobs }, HUB_TIMEOUT)
-    if (answer !== undefined) return Ok({ ended: answer.ended, seen: asked - answer.age })
-    this.passedUntil.set(hub, this.clock.now() + PASS_TIME)
+    const leader = findDomainLeader(this.members.all().filter(member => asked >= (this.skippedUntil.get(member.instance.name) ?? -Infinity)), failureDomain)
+    if (leader === undefined || leader === instance) return undefined
+    const answer = await this.calls.call(leader, { jobs }, LEADER_TIMEOUT)
+    if (answer !== undefined) return Ok({ ended: answer.ended, readAt: asked - answer.age })
+    this.skippedUntil.set(leader, this.clock.now() + LEADER_SKIP_TIME)
     return undefined
   }
 
-  private async answer (jobs: readonly string[]): Promise<Answer | undefined> {
+  private async answer (jobs: readonly string[]): Promise<LookupResponse | undefined> {
     if (!Array.isArray(jobs)) return undefined
     const read = await this.read()
     return read.ok ? { ended: this.filterEnded(jobs), age: this.clock.now() - read.val } : undefined
@@ -86,7 +86,7 @@
   /** Reads the store unless that was just done; gives the begin of the read. */
   private async read (): Promise<Result<number, StoreError>> {
     this.pauses.check()
-    if (this.clock.now() - this.seen <= READ_KEPT) return Ok(this.seen)
+    if (this.clock.now() - this.readAt <= MAX_READ_AGE) return Ok(this.readAt)
     this.reading ??= this.readStore().finally(() => { this.reading = undefined })
     return await this.reading
   }
@@ -95,12 +95,12 @@
   private async readStore (): Promise<Result<number, StoreError>> {
     const { count } = this.pauses
     const began = this.clock.now()
-    const batch = await this.records.readEnds(this.mirror.cursor)
+    const batch = await this.records.readEndedJobs(this.mirror.cursor)
     this.pauses.check()
     if (count !== this.pauses.count) return await this.readStore()
     if (batch.err) return batch
     this.mirror.apply(batch.val)
-    this.seen = began
+    this.readAt = began
     return Ok(began)
   }
 }
--- a/src/jobs/ended-job-watch.ts
+++ b/src/jobs/ended-job-watch.ts
@@ -17,10 +17,10 @@
  * How often it is looked whether owned jobs have ended, and how soon again after a look that failed, ms. A period, the age of what a
  * hub answers and the wait for one that is silent together stay below the age at which a look no longer counts.
  */
-const LOOK_PERIOD = 1_100
+const CHECK_PERIOD = 1_100
 const RETRY = 300
 /** Without a look for longer than this, a job may have been ended and removed meanwhile, ms. */
-const LOOK_GAP = 10_000
+const MAX_READ_GAP = 10_000
 
 /**
  * Looks in the store whether the jobs that this daemon owns have ended. Daemons tell each other of an end, which makes it fast, but the one that
@@ -29,29 +29,29 @@
  */
 @scoped(Lifecycle.ContainerScoped)
 export class EndedJobWatch implements Part {
-  private looking = false
+  private checking = false
   private failing = false
   private cancel = (): void => {}
 
   constructor (
     @inject(JobOwner) private readonly owner: Pick<JobOwner, 'list' | 'end' | 'forget'>,
     @inject(JobRecords) private readonly records: Pick<JobRecords, 'hasItems'>,
-    @inject(EndedJobLookup) private readonly lookup: Pick<EndedJobLookup, 'ask'>,
+    @inject(EndedJobLookup) private readonly lookup: Pick<EndedJobLookup, 'find'>,
     @inject(PauseWatch) private readonly pauses: PauseWatch,
     @inject(Metrics) metrics: Metrics,
     @inject(tokens.routed) private readonly routed: Pick<RoutedSettings, 'resultKeep'>,
     @inject(tokens.log) private readonly log: LogSink,
     @inject(tokens.clock) private readonly clock: Clock
   ) {
-    metrics.gauge('job_end_look_age_ms', () => this.findLookAge())
+    metrics.gauge('job_end_look_age_ms', () => this.findReadAge())
   }
 
   async start (): Promise<void> {
     this.pauses.subscribe(() => {
-      for (const job of this.listOpen()) job.look = { unreachable: false }
+      for (const job of this.listOpen()) job.lastRead = { unreachable: false }
       void this.check()
     })
-    this.cancel = this.clock.every(LOOK_PERIOD, () => { void this.check() })
+    this.cancel = this.clock.every(CHECK_PERIOD, () => { void this.check() })
   }
 
   async stop (): Promise<void> {
@@ -61,45 +61,45 @@
   private async check (): Promise<void> {
     this.pauses.check()
     const jobs = this.listOpen()
-    if (this.looking || jobs.length === 0) return
-    this.looking = true
+    if (this.checking || jobs.length === 0) return
+    this.checking = true
     const { count } = this.pauses
-    const found = await this.lookup.ask(jobs.map(({ id }) => id))
+    const found = await this.lookup.find(jobs.map(({ id }) => id))
     this.pauses.check()
-    this.looking = false
-    if (count === this.pauses.count) this.use(jobs, found)
+    this.checking = false
+    if (count === this.pauses.count) this.applyRead(jobs, found)
     else await this.check()
   }
 
-  private use (jobs: readonly OwnedJob[], found: Awaited<ReturnType<EndedJobLookup['ask']>>): void {
-    if (found.err) return this.noteFailure(jobs, found.val)
+  private applyRead (jobs: readonly OwnedJob[], found: Awaited<ReturnType<EndedJobLookup['find']>>): void {
+    if (found.err) return this.recordFailure(jobs, found.val)
     this.failing = false
     for (const job of jobs) {
-      if (this.mayBeRemoved(job)) void this.confirmStored(job, found.val.seen)
-      else job.look = { seen: Math.max(found.val.seen, job.look.seen ?? -Infinity), unreachable: false }
+      if (this.mayBeRemoved(job)) void this.confirmStored(job, found.val.readAt)
+      else job.lastRead = { seen: Math.max(found.val.readAt, job.lastRead.seen ?? -Infinity), unreachable: false }
     }
     for (const id of found.val.ended) this.owner.end(id)
   }
 
-  private noteFailure (jobs: readonly OwnedJob[], { type }: StoreError): void {
-    if (!this.failing) this.log.write('warn', 'jobs', 'could not look up whether jobs have ended', { error: type, jobs: jobs.length, age: Math.round(this.findLookAge()) })
+  private recordFailure (jobs: readonly OwnedJob[], { type }: StoreError): void {
+    if (!this.failing) this.log.write('warn', 'jobs', 'could not look up whether jobs have ended', { error: type, jobs: jobs.length, age: Math.round(this.findReadAge()) })
     this.failing = true
-    for (const job of jobs) job.look = { ...job.look, unreachable: type === 'unavailable' }
+    for (const job of jobs) job.lastRead = { ...job.lastRead, unreachable: type === 'unavailable' }
     this.clock.after(RETRY, () => { void this.check() })
   }
 
   /** Whether the store may have kept the job's end, and removed it with the job, since the last look. */
-  private mayBeRemoved ({ head: { submittedAt }, look: { seen = -Infinity } }: OwnedJob): boolean {
-    return this.clock.date() - submittedAt > this.routed.resultKeep && this.clock.now() - seen > LOOK_GAP
+  private mayBeRemoved ({ header: { submittedAt }, lastRead: { seen = -Infinity } }: OwnedJob): boolean {
+    return this.clock.date() - submittedAt > this.routed.resultKeep && this.clock.now() - seen > MAX_READ_GAP
   }
 
   /** Items are removed before the end is: a job whose items are there after no end was found has not been ended. */
-  private async confirmStored (job: OwnedJob, seen: number): Promise<void> {
+  private async confirmStored (job: OwnedJob, readAt: number): Promise<void> {
     const { count } = this.pauses
     const stored = await this.records.hasItems(job.id)
     this.pauses.check()
     if (stored.err || count !== this.pauses.count) return
-    if (stored.val) job.look = { seen, unreachable: false }
+    if (stored.val) job.lastRead = { seen: readAt, unreachable: false }
     else this.owner.forget(job.id)
   }
 
@@ -108,9 +108,9 @@
   }
 
   /** Age of the oldest look, ms, or of its job where a pause was since; 0 where no job is open. */
-  private findLookAge (): number {
+  private findReadAge (): number {
     const now = this.clock.now()
-    return Math.max(0, ...this.listOpen().map(({ look, acceptedAt }) => now - (look.seen ?? acceptedAt)))
+    return Math.max(0, ...this.listOpen().map(({ lastRead, acceptedAt }) => now - (lastRead.seen ?? acceptedAt)))
   }
 }
 
--- a/src/jobs/item-pace.ts
+++ b/src/jobs/item-duration-estimator.ts
@@ -4,14 +4,14 @@
 /** Weight of the newest item. */
 const WEIGHT = 0.1
 /** Before any item has ended: events of an item for each token that it may take, and ms between two of its events. */
-const FIRST_EVENTS = 0.2
-const FIRST_GAP = 20
+const INITIAL_EVENTS_PER_TOKEN = 0.2
+const INITIAL_EVENT_GAP = 20
 
 /** How long items run, by those that have. */
 @scoped(Lifecycle.ContainerScoped)
-export class ItemPace {
-  private eventsPerToken = FIRST_EVENTS
-  private gap = FIRST_GAP
+export class ItemDurationEstimator {
+  private eventsPerToken = INITIAL_EVENTS_PER_TOKEN
+  private eventGap = INITIAL_EVENT_GAP
 
   /** Notes an item that has ended with so many events. */
   recordEnd ({ item, last }: Pick<ItemState, 'item' | 'last'>): void {
@@ -21,11 +21,11 @@
 
   /** Notes a run that brought `events` in `time` ms. */
   recordRun (events: number, time: number): void {
-    if (events > 0) this.gap += WEIGHT * (time / events - this.gap)
+    if (events > 0) this.eventGap += WEIGHT * (time / events - this.eventGap)
   }
 
   /** How much longer an item would run, ms; one that has run longer than most is about to end. */
   estimateRemaining ({ item, last }: Pick<ItemState, 'item' | 'last'>): number {
-    return Math.max(1, item.tokens * this.eventsPerToken - (last ?? 0)) * this.gap
+    return Math.max(1, item.tokens * this.eventsPerToken - (last ?? 0)) * this.eventGap
   }
 }
--- a/src/jobs/item-run.ts
+++ b/src/jobs/item-run.ts
@@ -10,12 +10,12 @@
 import type { ItemState } from './item-state.js'
 
 /** Longest silence before the first event and between two, ms; a slow server takes a few hundred. */
-const FIRST_PATIENCE = 1_500
-const BETWEEN_PATIENCE = 1_000
+const FIRST_EVENT_TIMEOUT = 1_500
+const EVENT_TIMEOUT = 1_000
 const DEADLINE = 600_000
-const IMPOSSIBLE = 422
+const UNPROCESSABLE = 422
 const SERVER_ERROR = 500
-const REDIRECTED = 300
+const FIRST_REDIRECTION = 300
 
 interface ItemRunOptions {
   readonly state: ItemState
@@ -66,8 +66,8 @@
       signal: this.abort.signal,
       paced: true,
       mayStart
-    }, { body, fingerprint: item.id, headerTimeout: FIRST_PATIENCE })
-    if (opened.err) return opened.val.why === 'withheld' && !this.abort.signal.aborted ? { type: 'withheld' } : this.showLoss(opened.val.detail)
+    }, { body, fingerprint: item.id, headerTimeout: FIRST_EVENT_TIMEOUT })
+    if (opened.err) return opened.val.why === 'withheld' && !this.abort.signal.aborted ? { type: 'withheld' } : this.describeLoss(opened.val.detail)
     return await this.read(opened.val)
   }
 
@@ -76,20 +76,20 @@
     const { dialect, state: { item } } = this.options
     const id = dialect.readRequestId(headers)
     if (id !== undefined && id !== item.id) return this.fail(open, `the answer belongs to ${id}`)
-    if (status < REDIRECTED && open.exchange.isStream()) return await this.readEvents(open)
+    if (status < FIRST_REDIRECTION && open.exchange.isStream()) return await this.readEvents(open)
     const isNotRun = dialect.isNotRun(status, headers)
-    const body = await readToEnd(open.exchange, () => BETWEEN_PATIENCE)
+    const body = await readToEnd(open.exchange, () => EVENT_TIMEOUT)
     open.end(body.ok ? 'answered' : 'abandoned')
     if (isNotRun) return { type: 'refused' }
-    if (status === IMPOSSIBLE) return { type: 'impossible' }
+    if (status === UNPROCESSABLE) return { type: 'impossible' }
     return status === SERVER_ERROR ? { type: 'failed' } : { type: 'lost', detail: `status ${status}` }
   }
 
   private async readEvents (open: OpenExchange): Promise<ItemOutcome> {
     const { state } = this.options
     const cutter = new SseSplitter()
-    for (let patience = FIRST_PATIENCE; ; patience = BETWEEN_PATIENCE) {
-      const bytes = await open.exchange.read(patience)
+    for (let timeout = FIRST_EVENT_TIMEOUT; ; timeout = EVENT_TIMEOUT) {
+      const bytes = await open.exchange.read(timeout)
       if (bytes.err) return this.fail(open, bytes.val.detail)
       if (bytes.val === undefined) break
       for (const { id, data } of cutter.push(bytes.val)) {
@@ -108,10 +108,10 @@
 
   private fail (open: OpenExchange, detail: string): ItemOutcome {
     void open.fail({ why: this.abort.signal.aborted ? 'abandoned' : 'cut', sent: true, detail })
-    return this.showLoss(detail)
+    return this.describeLoss(detail)
   }
 
-  private showLoss (detail: string): ItemOutcome {
+  private describeLoss (detail: string): ItemOutcome {
     return this.abort.signal.aborted ? { type: 'stopped' } : { type: 'lost', detail }
   }
 }
--- a/src/jobs/job-adoption.ts
+++ b/src/jobs/job-adoption.ts
@@ -19,27 +19,27 @@
 /** After its start a daemon that hears nobody takes itself for alone, ms. */
 const ALONE_AFTER = 3_000
 /** Before a job that could not be read is tried again, ms: its store is away, or its items were never stored. */
-const ADOPT_PAUSE = 1_000
+const ADOPT_RETRY = 1_000
 /** Jobs that are taken over at the same time. */
-const AT_ONCE = 2
+const MAX_CONCURRENT = 2
 /** How often jobs that nobody owns are told of, ms. */
-const TELL_PERIOD = 1_000
+const PUBLISH_PERIOD = 1_000
 
 /** Finds jobs whose owner has ended, and takes over those that fall to this daemon by rank. */
 @scoped(Lifecycle.ContainerScoped)
 export class JobAdoption implements Part {
   private readonly startedAt: number
   /** By job that could not be taken over: when to try again, monotonic ms. */
-  private readonly adoptAfter = new Map<string, number>()
+  private readonly retryAt = new Map<string, number>()
   /** Daemons that were alive at the last look, by name and life. */
-  private alive: ReadonlySet<string> = new Set()
-  private toldAt = -Infinity
+  private aliveProcesses: ReadonlySet<string> = new Set()
+  private publishedAt = -Infinity
   private adopting = false
   private cancel = (): void => {}
 
   constructor (
     @inject(JobOwner) private readonly owner: JobOwner,
-    @inject(JobRegistry) private readonly book: JobRegistry,
+    @inject(JobRegistry) private readonly registry: JobRegistry,
     @inject(JobRecords) private readonly records: JobRecords,
     @inject(Members) private readonly members: Members,
     @inject(tokens.settings) private readonly settings: Settings,
@@ -50,7 +50,7 @@
 
   async start (): Promise<void> {
     this.cancel = this.clock.every(CHECK_PERIOD, () => this.check())
-    void this.listHeads()
+    void this.loadHeaders()
   }
 
   async drain (): Promise<void> {
@@ -58,11 +58,11 @@
   }
 
   /** Jobs of an earlier life of the fleet, or of a daemon that ended before its word of them was out, are known by the store alone. */
-  private async listHeads (): Promise<void> {
+  private async loadHeaders (): Promise<void> {
     for (;;) {
-      const heads = await this.records.listHeads()
-      if (heads.ok) {
-        for (const [id, head] of heads.val) this.book.learn(readKnownJob(id, head, { stored: false }))
+      const headers = await this.records.listHeaders()
+      if (headers.ok) {
+        for (const [id, header] of headers.val) this.registry.addIfAbsent(readKnownJob(id, header, { stored: false }))
         return this.check()
       }
       await pauseFor(this.clock, RETRY)
@@ -72,10 +72,10 @@
   private check (): void {
     const owners = this.members.owners()
     const names = owners.length > 0 ? owners : this.clock.now() > this.startedAt + ALONE_AFTER ? [this.settings.instance] : []
-    this.checkEnded(names)
-    const orphans = this.book.list().filter(job => !job.closed && this.owner.find(job.id) === undefined && !this.owner.isOwnerAlive(job))
+    this.checkEndedProcesses(names)
+    const orphans = this.registry.list().filter(job => !job.closed && this.owner.find(job.id) === undefined && !this.owner.isOwnerAlive(job))
     void this.adoptAll(orphans.filter(({ id }) => rankOwners(id, names)[0] === this.settings.instance))
-    this.tellOrphans(orphans)
+    this.publishOrphans(orphans)
   }
 
   /**
@@ -89,33 +89,33 @@
     const adoptNext = async (): Promise<void> => {
       for (let job = left.pop(); job !== undefined; job = left.pop()) await this.adopt(job.id)
     }
-    await Promise.all(Array.from({ length: AT_ONCE }, adoptNext))
+    await Promise.all(Array.from({ length: MAX_CONCURRENT }, adoptNext))
     this.adopting = false
   }
 
   private async adopt (id: string): Promise<void> {
-    if (this.clock.now() < (this.adoptAfter.get(id) ?? 0)) return
+    if (this.clock.now() < (this.retryAt.get(id) ?? 0)) return
     const adopted = await this.owner.adopt(id)
-    if (adopted.err) this.adoptAfter.set(id, this.clock.now() + ADOPT_PAUSE)
-    else this.adoptAfter.delete(id)
+    if (adopted.err) this.retryAt.set(id, this.clock.now() + ADOPT_RETRY)
+    else this.retryAt.delete(id)
   }
 
   /**
    * A daemon may end right after it has accepted a job, before anybody has heard of it: its caller has the word that the job
    * is kept, and nobody runs it. One daemon reads the store after each such end.
    */
-  private checkEnded (names: readonly string[]): void {
+  private checkEndedProcesses (names: readonly string[]): void {
     const alive = new Set(this.members.all().filter(({ state }) => state !== 'leaving').map(({ instance, run }) => `${instance.name} ${run}`))
-    const ended = [...this.alive].filter(life => !alive.has(life))
-    this.alive = alive
-    if (ended.some(life => rankOwners(life, names)[0] === this.settings.instance)) void this.listHeads()
+    const ended = [...this.aliveProcesses].filter(life => !alive.has(life))
+    this.aliveProcesses = alive
+    if (ended.some(life => rankOwners(life, names)[0] === this.settings.instance)) void this.loadHeaders()
   }
 
   /** Whoever is to take a job over may not know of it. */
-  private tellOrphans (orphans: readonly KnownJob[]): void {
-    if (orphans.length === 0 || this.clock.now() < this.toldAt + TELL_PERIOD) return
-    this.toldAt = this.clock.now()
-    for (const job of orphans) this.book.tellSeen(job)
+  private publishOrphans (orphans: readonly KnownJob[]): void {
+    if (orphans.length === 0 || this.clock.now() < this.publishedAt + PUBLISH_PERIOD) return
+    this.publishedAt = this.clock.now()
+    for (const job of orphans) this.registry.publishSeen(job)
   }
 }
 
--- a/src/jobs/job-checkpointer.ts
+++ b/src/jobs/job-checkpointer.ts
@@ -4,7 +4,7 @@
 import { partRegistry } from '../kernel/part-registry.js'
 import { tokens } from '../kernel/tokens.js'
 import type { LogSink } from '../observe/log-sink.js'
-import { countUnnoted } from './count-unnoted.js'
+import { countUnsavedEvents } from './count-unsaved-events.js'
 import type { ItemProgress } from './item-progress.js'
 import { JobOwner } from './job-owner.js'
 import { JobRecords } from './job-records.js'
@@ -13,11 +13,11 @@
 
 const CHECK_PERIOD = 500
 /** Events of a job that may be lost with its daemon. A lower figure loses less and writes more often. */
-const NOTE_EVENTS = 500
+const CHECKPOINT_EVENTS = 500
 /** Least time between two notes of one job, ms, so that calls don't grow with what runs of it at once. */
-const NOTE_PERIOD = 2_000
+const CHECKPOINT_PERIOD = 2_000
 
-interface Note {
+interface Checkpoint {
   readonly version: number
   readonly progress: readonly ItemProgress[]
   /** Monotonic ms at which it was last begun. */
@@ -25,7 +25,7 @@
   readonly writing: boolean
 }
 
-const NONE: Note = { version: 0, progress: [], at: -Infinity, writing: false }
+const NO_CHECKPOINT: Checkpoint = { version: 0, progress: [], at: -Infinity, writing: false }
 
 /**
  * Notes in the store how far the items of this daemon's jobs have come. Where all daemons end at once nobody is left to hand
@@ -33,7 +33,7 @@
  */
 @scoped(Lifecycle.ContainerScoped)
 export class JobCheckpointer implements Part {
-  private readonly notes = new WeakMap<OwnedJob, Note>()
+  private readonly checkpoints = new WeakMap<OwnedJob, Checkpoint>()
   private cancel = (): void => {}
 
   constructor (
@@ -52,21 +52,21 @@
   }
 
   private async check (job: OwnedJob): Promise<void> {
-    const note = this.notes.get(job) ?? NONE
+    const checkpoint = this.checkpoints.get(job) ?? NO_CHECKPOINT
     const now = this.clock.now()
-    if (note.writing || now < note.at + NOTE_PERIOD || job.isDone || job.ended) return
-    if (countUnnoted(job.items, note.progress) < NOTE_EVENTS) return
-    this.notes.set(job, { ...note, at: now, writing: true })
+    if (checkpoint.writing || now < checkpoint.at + CHECKPOINT_PERIOD || job.isDone || job.ended) return
+    if (countUnsavedEvents(job.items, checkpoint.progress) < CHECKPOINT_EVENTS) return
+    this.checkpoints.set(job, { ...checkpoint, at: now, writing: true })
     // A job with more is noted in part; what isn't is run again.
     const [progress = []] = splitProgress(job.copyProgress())
-    const written = await this.records.writeProgress(job.id, progress, note.version)
+    const written = await this.records.writeProgress(job.id, progress, checkpoint.version)
     if (written.ok) {
-      this.notes.set(job, { version: written.val, progress, at: now, writing: false })
+      this.checkpoints.set(job, { version: written.val, progress, at: now, writing: false })
       return
     }
     // Another owner's note stands: the next one replaces it, at once.
     const next = written.val.type === 'conflict' ? { version: written.val.version } : { at: now }
-    this.notes.set(job, { ...note, ...next, writing: false })
+    this.checkpoints.set(job, { ...checkpoint, ...next, writing: false })
     this.log.write('info', 'jobs', 'the progress of a job could not be noted', { job: job.id, error: written.val.type })
   }
 }
--- a/src/jobs/job-cleaner.ts
+++ b/src/jobs/job-cleaner.ts
@@ -15,7 +15,7 @@
 
 const PERIOD = 10_000
 /** Past the time for which results must stay, ms, for clocks that differ and jobs that were sent before they were accepted. */
-const MARGIN = 60_000
+const CLOCK_MARGIN = 60_000
 
 /** Removes jobs whose results have stayed as long as was promised: one at a time, by the daemon that owns or ranks first for it. */
 @scoped(Lifecycle.ContainerScoped)
@@ -24,7 +24,7 @@
   private cancel = (): void => {}
 
   constructor (
-    @inject(JobRegistry) private readonly book: JobRegistry,
+    @inject(JobRegistry) private readonly registry: JobRegistry,
     @inject(JobOwner) private readonly owner: JobOwner,
     @inject(JobRecords) private readonly records: JobRecords,
     @inject(Members) private readonly members: Members,
@@ -45,10 +45,10 @@
   private async clean (): Promise<void> {
     if (this.busy) return
     this.busy = true
-    const before = this.clock.date() - this.routed.resultKeep - MARGIN
+    const submittedBefore = this.clock.date() - this.routed.resultKeep - CLOCK_MARGIN
     const names = this.members.owners()
-    const over = this.book.list().filter(job => job.submittedAt < before && (job.closed || this.isAbandoned(job)))
-    for (const { id } of over) {
+    const expired = this.registry.list().filter(job => job.submittedAt < submittedBefore && (job.closed || this.isAbandoned(job)))
+    for (const { id } of expired) {
       if (this.owner.find(id) !== undefined || rankOwners(id, names)[0] === this.settings.instance) await this.remove(id)
     }
     this.busy = false
@@ -64,7 +64,7 @@
     const removed = await this.records.remove(id)
     if (removed.err && removed.val.type !== 'missing') return this.log.write('warn', 'jobs', 'a job could not be removed yet', { job: id, error: removed.val.type })
     this.owner.forget(id)
-    this.book.forget(id)
+    this.registry.forget(id)
     this.log.write('info', 'jobs', 'removed a job', { job: id })
   }
 }
--- a/src/jobs/job-head.ts
+++ b/src/jobs/job-header.ts
@@ -1,5 +1,5 @@
 /** What is stored of a job beside its items and results. */
-export interface JobHead {
+export interface JobHeader {
   readonly host: string
   /** The path that it was submitted to, which selects its route whenever an item is run. */
   readonly path: string
--- a/src/jobs/job-owner.ts
+++ b/src/jobs/job-owner.ts
@@ -14,10 +14,10 @@
 import { PeerLinks } from '../peers/peer-links.js'
 import type { PeerMessage } from '../peers/peer-message.js'
 import type { StoreError } from '../store/store-error.js'
-import { countUnnoted } from './count-unnoted.js'
+import { countUnsavedEvents } from './count-unsaved-events.js'
 import { JobRegistry } from './job-registry.js'
 import type { ItemProgress } from './item-progress.js'
-import type { JobHead } from './job-head.js'
+import type { JobHeader } from './job-header.js'
 import type { JobItem } from './job-item.js'
 import { JobRecords } from './job-records.js'
 import { JobRunner } from './job-runner.js'
@@ -40,10 +40,10 @@
  */
 @scoped(Lifecycle.ContainerScoped)
 export class JobOwner implements Part {
-  readonly extensions = [peerHandlerPoint.of({ type: PROGRESS_MESSAGE, handle: message => this.takeProgress(message) })]
+  readonly extensions = [peerHandlerPoint.of({ type: PROGRESS_MESSAGE, handle: message => this.receiveProgress(message) })]
   private readonly owned = new Map<string, OwnedJob>()
   /** By job: how far its items had come at the daemon that let go of it, until it is taken over here. */
-  private readonly handed = new Map<string, readonly ItemProgress[]>()
+  private readonly handedOver = new Map<string, readonly ItemProgress[]>()
   private readonly adopting = new Set<string>()
   private readonly writer: ResultWriter
   private draining = false
@@ -51,7 +51,7 @@
   constructor (
     @inject(JobRecords) private readonly records: JobRecords,
     @inject(JobRunner) private readonly runner: JobRunner,
-    @inject(JobRegistry) private readonly book: JobRegistry,
+    @inject(JobRegistry) private readonly registry: JobRegistry,
     @inject(Members) private readonly members: Members,
     @inject(PeerLinks) private readonly links: Pick<PeerLinks, 'send'>,
     @inject(PauseWatch) private readonly pauses: Pick<PauseWatch, 'check' | 'count'>,
@@ -71,7 +71,7 @@
 
   async start (): Promise<void> {
     this.runner.subscribe(job => { void this.writer.store(job) })
-    this.book.subscribe(({ id, closed }) => { if (closed) this.handleClosed(id) })
+    this.registry.subscribe(({ id, closed }) => { if (closed) this.handleClosed(id) })
   }
 
   /** Stores what there is and lets go of every job, so that others take them over at once. */
@@ -86,8 +86,8 @@
       this.runner.remove(job)
       this.owned.delete(job.id)
       this.handOver(job)
-      this.book.tell(this.showReleased(job))
-      job.wake()
+      this.registry.publish(this.buildReleasedJob(job))
+      job.notify()
     }
   }
 
@@ -104,12 +104,12 @@
     for (const progress of splitProgress(job.copyProgress())) this.links.send(to, { type: PROGRESS_MESSAGE, job: job.id, progress })
   }
 
-  private takeProgress ({ job, progress }: PeerMessage): void {
+  private receiveProgress ({ job, progress }: PeerMessage): void {
     if (!Array.isArray(progress)) return
     const id = String(job)
     const owned = this.owned.get(id)
-    if (owned !== undefined) owned.useProgress(progress as readonly ItemProgress[])
-    else this.handed.set(id, [...this.handed.get(id) ?? [], ...progress as readonly ItemProgress[]])
+    if (owned !== undefined) owned.applyProgress(progress as readonly ItemProgress[])
+    else this.handedOver.set(id, [...this.handedOver.get(id) ?? [], ...progress as readonly ItemProgress[]])
   }
 
   find (id: string): OwnedJob | undefined {
@@ -121,28 +121,28 @@
   }
 
   /** Lets go of a job that another daemon runs, and tells it how far the items have come here. */
-  giveWay (job: OwnedJob, to: string): void {
+  releaseTo (job: OwnedJob, to: string): void {
     this.runner.remove(job)
     this.owned.delete(job.id)
     this.sendProgress(job, to)
-    job.wake()
+    job.notify()
   }
 
   /**
    * Whether what is known here of a job's results can't be behind what callers have read. Where another daemon may own the job
    * too, the store is asked first: without that, an owner that stood still lists nothing where the other one's results were read.
    */
-  async prove (job: OwnedJob): Promise<boolean> {
-    return this.clock.now() >= job.doubtfulUntil || await this.writer.readNew(job)
+  async ensureCurrent (job: OwnedJob): Promise<boolean> {
+    return this.clock.now() >= job.contestedUntil || await this.writer.readNew(job)
   }
 
   /** Accepts a job: once this is `Ok` it is kept. `conflict` says that it was accepted before. */
-  async accept (id: string, job: Pick<JobHead, 'host' | 'path'>, items: readonly JobItem[]): Promise<Result<void, StoreError>> {
+  async accept (id: string, job: Pick<JobHeader, 'host' | 'path'>, items: readonly JobItem[]): Promise<Result<void, StoreError>> {
     const { instance: owner } = this.settings
-    const findOpenAt = this.beginLook()
-    const head = { ...job, submittedAt: this.clock.date(), total: items.length, tokens: items.reduce((sum, { tokens }) => sum + tokens, 0), owner, run: this.members.run }
-    const created = await this.records.create(id, head, items)
-    if (created.ok) this.own(new OwnedJob({ id, head: { ...head, parts: 0 }, items, segments: [], acceptedAt: this.clock.now(), openAt: findOpenAt() }))
+    const findReadAt = this.beginRead()
+    const header = { ...job, submittedAt: this.clock.date(), total: items.length, tokens: items.reduce((sum, { tokens }) => sum + tokens, 0), owner, run: this.members.run }
+    const created = await this.records.create(id, header, items)
+    if (created.ok) this.addOwned(new OwnedJob({ id, header: { ...header, parts: 0 }, items, segments: [], acceptedAt: this.clock.now(), readAt: findReadAt() }))
     return created
   }
 
@@ -162,7 +162,7 @@
   end (id: string): void {
     const job = this.owned.get(id)
     if (job === undefined) return
-    if (!job.ended) this.log.write('info', 'jobs', 'stopped an ended job', { job: id, results: job.readPage(0).next, of: job.head.total })
+    if (!job.ended) this.log.write('info', 'jobs', 'stopped an ended job', { job: id, results: job.readPage(0).next, of: job.header.total })
     job.ended = true
     this.close(job)
   }
@@ -170,7 +170,7 @@
   /**
    * Ends a job at once if the store says that its caller has ended it. Where the store doesn't answer, `EndWatch` sees it later.
    */
-  async checkEnd (id: string): Promise<void> {
+  async checkEnded (id: string): Promise<void> {
     if (!this.isRunning(id)) return
     const ended = await this.records.isEnded(id)
     if (ended.ok && ended.val) this.end(id)
@@ -186,7 +186,7 @@
     const job = this.owned.get(id)
     if (job !== undefined) this.runner.remove(job)
     this.owned.delete(id)
-    this.handed.delete(id)
+    this.handedOver.delete(id)
   }
 
   /** Whether the daemon that owns the job is alive, in the same life. */
@@ -195,7 +195,7 @@
   }
 
   /** Gives the moment of this call as long as the process hasn't stood still since: what the store says later holds for it. */
-  private beginLook (): () => number | undefined {
+  private beginRead (): () => number | undefined {
     const { count } = this.pauses
     const began = this.clock.now()
     return () => {
@@ -205,80 +205,80 @@
   }
 
   private async load (id: string): Promise<Result<OwnedJob | undefined, StoreError>> {
-    const findOpenAt = this.beginLook()
-    const head = await this.records.readHead(id)
-    if (head.err) return head
+    const findReadAt = this.beginRead()
+    const header = await this.records.readHeader(id)
+    if (header.err) return header
     const segments = await this.records.readSegments(id)
     if (segments.err) return segments
-    if (segments.val.flat().length >= head.val.total) return Ok(this.ownDone(id, head.val, segments.val))
-    const [items, ended, noted] = await Promise.all([this.records.readItems(id, head.val), this.records.isEnded(id), this.records.readProgress(id)])
+    if (segments.val.flat().length >= header.val.total) return Ok(this.addDone(id, header.val, segments.val))
+    const [items, ended, checkpoint] = await Promise.all([this.records.readItems(id, header.val), this.records.isEnded(id), this.records.readProgress(id)])
     if (items.err) return items
     if (ended.err) return ended
-    if (noted.err) return noted
-    const age = Math.max(0, this.clock.date() - head.val.submittedAt)
-    const job = new OwnedJob({ id, head: head.val, items: items.val, segments: segments.val, acceptedAt: this.clock.now() - age, openAt: findOpenAt(), former: this.book.get(id) ?? head.val })
+    if (checkpoint.err) return checkpoint
+    const age = Math.max(0, this.clock.date() - header.val.submittedAt)
+    const job = new OwnedJob({ id, header: header.val, items: items.val, segments: segments.val, acceptedAt: this.clock.now() - age, readAt: findReadAt(), formerOwner: this.registry.get(id) ?? header.val })
     job.ended = ended.val
-    job.useProgress(noted.val)
-    job.useProgress(this.handed.get(id) ?? [])
-    this.handed.delete(id)
-    this.log.write('info', 'jobs', 'took a job over', { job: id, from: head.val.owner, age, results: job.readPage(0).next, of: head.val.total, events: countUnnoted(job.items, []), ended: job.ended })
-    const isClosed = this.book.get(id)?.closed === true
-    this.own(job)
+    job.applyProgress(checkpoint.val)
+    job.applyProgress(this.handedOver.get(id) ?? [])
+    this.handedOver.delete(id)
+    this.log.write('info', 'jobs', 'took a job over', { job: id, from: header.val.owner, age, results: job.readPage(0).next, of: header.val.total, events: countUnsavedEvents(job.items, []), ended: job.ended })
+    const isClosed = this.registry.get(id)?.closed === true
+    this.addOwned(job)
     if (job.ended) this.close(job)
-    else if (isClosed) void this.checkEnd(id)
+    else if (isClosed) void this.checkEnded(id)
     return Ok(job)
   }
 
   /** A job whose results are all stored is kept for those who read it, without its items, which are most of what there is to read. */
-  private ownDone (id: string, head: JobHead, segments: ReadonlyArray<readonly ListedResult[]>): OwnedJob {
-    const job = new OwnedJob({ id, head, items: [], segments, acceptedAt: this.clock.now() })
-    this.handed.delete(id)
-    this.own(job)
+  private addDone (id: string, header: JobHeader, segments: ReadonlyArray<readonly ListedResult[]>): OwnedJob {
+    const job = new OwnedJob({ id, header, items: [], segments, acceptedAt: this.clock.now() })
+    this.handedOver.delete(id)
+    this.addOwned(job)
     this.close(job)
     return job
   }
 
   /** One that leaves accepts jobs to its end, for others to run: they hear at once that nobody owns it. */
-  private own (job: OwnedJob): void {
-    if (this.draining) return this.book.tell(this.showReleased(job))
+  private addOwned (job: OwnedJob): void {
+    if (this.draining) return this.registry.publish(this.buildReleasedJob(job))
     this.owned.set(job.id, job)
     this.runner.add(job)
-    this.book.tell(this.show(job))
+    this.registry.publish(this.buildKnownJob(job))
   }
 
   private close (job: OwnedJob): void {
     this.runner.remove(job)
-    this.book.tell(this.show(job))
-    job.wake()
+    this.registry.publish(this.buildKnownJob(job))
+    job.notify()
   }
 
   /** What the others are told of a job that this daemon owns. */
-  show (job: OwnedJob): KnownJob {
-    const { id, head: { host, path, submittedAt } } = job
+  buildKnownJob (job: OwnedJob): KnownJob {
+    const { id, header: { host, path, submittedAt } } = job
     return { id, host, path, submittedAt, owner: this.settings.instance, run: this.members.run, tokensLeft: job.ended ? 0 : job.tokensLeft, stored: true, closed: job.ended || job.isDone }
   }
 
-  private showReleased (job: OwnedJob): KnownJob {
-    return { ...this.show(job), owner: '', run: 0 }
+  private buildReleasedJob (job: OwnedJob): KnownJob {
+    return { ...this.buildKnownJob(job), owner: '', run: 0 }
   }
 
   /** Another daemon says that the job is closed; only its end, or all of its results, make that so. */
   private handleClosed (id: string): void {
-    this.handed.delete(id)
-    if (this.isRunning(id)) void this.checkEnd(id)
+    this.handedOver.delete(id)
+    if (this.isRunning(id)) void this.checkEnded(id)
   }
 
   private handleStored (job: OwnedJob): void {
     if (job.isDone) this.close(job)
-    else this.tellProgress(job)
+    else this.publishProgress(job)
   }
 
   /** How much of it is left matters to what may wait on its route, and to nobody at once. */
-  private tellProgress (job: OwnedJob): void {
+  private publishProgress (job: OwnedJob): void {
     const now = this.clock.now()
-    if (now < job.toldAt + PROGRESS_PERIOD) return
-    job.toldAt = now
-    this.book.tell(this.show(job))
+    if (now < job.publishedAt + PROGRESS_PERIOD) return
+    job.publishedAt = now
+    this.registry.publish(this.buildKnownJob(job))
   }
 }
 
--- a/src/jobs/job-reader.ts
+++ b/src/jobs/job-reader.ts
@@ -16,8 +16,8 @@
 import { JobRecords } from './job-records.js'
 import { OwnedJob } from './owned-job.js'
 import { readKnownJob } from './read-known-job.js'
-import type { OwnerAnswer } from './owner-answer.js'
-import type { OwnerQuestion } from './owner-question.js'
+import type { OwnerResponse } from './owner-response.js'
+import type { OwnerRequest } from './owner-request.js'
 import type { ResultsPage } from './results-page.js'
 
 /** Beyond the time that a read may wait at the owner, ms: the way there and back. */
@@ -26,11 +26,11 @@
 const MAX_CACHED = 100
 const MAX_WAIT = 1_000
 /** How often, and between two times how long, ms, it is tried that a stored job is run: longer than a store is away in most outages. */
-const CARE_TRIES = 120
-const CARE_PAUSE = 500
+const RUN_TRIES = 120
+const RUN_PAUSE = 500
 /** How often, and how long apart, ms, the owner of an ended job is told: one that takes it over is known by then. */
-const END_TRIES = 10
-const END_PAUSE = 300
+const STOP_TRIES = 10
+const STOP_PAUSE = 300
 
 type Failure = 'missing' | 'unsure'
 
@@ -38,19 +38,19 @@
 @scoped(Lifecycle.ContainerScoped)
 export class JobReader implements Part {
   readonly extensions
-  private readonly calls: MemberCalls<OwnerQuestion, OwnerAnswer>
+  private readonly calls: MemberCalls<OwnerRequest, OwnerResponse>
   private readonly cached = new Map<string, OwnedJob>()
 
   constructor (
     @inject(JobOwner) private readonly owner: JobOwner,
-    @inject(JobRegistry) private readonly book: JobRegistry,
+    @inject(JobRegistry) private readonly registry: JobRegistry,
     @inject(JobRecords) private readonly records: JobRecords,
     @inject(PeerLinks) links: PeerLinks,
     @inject(tokens.settings) private readonly settings: Pick<Settings, 'instance'>,
     @inject(tokens.log) private readonly log: LogSink,
     @inject(tokens.clock) private readonly clock: Clock
   ) {
-    this.calls = new MemberCalls({ links, clock, name: 'job', handle: async question => await this.answer(question) })
+    this.calls = new MemberCalls({ links, clock, name: 'job', handle: async request => await this.answer(request) })
     this.extensions = this.calls.extensions
   }
 
@@ -58,8 +58,8 @@
   async readResults (job: string, after: number, wait: number): Promise<Result<ResultsPage, Failure>> {
     const own = await this.readOwn(job, after, Math.min(wait, MAX_WAIT))
     if (own !== undefined) return Ok(own)
-    const told = await this.ask(job, { type: 'read', job, after, wait: Math.min(wait, MAX_WAIT) }, wait)
-    if (told?.type === 'page') return Ok(told.page)
+    const response = await this.askOwner(job, { type: 'read', job, after, wait: Math.min(wait, MAX_WAIT) }, wait)
+    if (response?.type === 'page') return Ok(response.page)
     const stored = await this.readStored(job)
     return stored.ok ? Ok(stored.val.readPage(after)) : stored
   }
@@ -68,52 +68,52 @@
   async readBody (job: string, item: string): Promise<Result<string, Failure>> {
     const own = this.owner.find(job)
     if (own !== undefined && !own.isDone) return readFound(own.find(item)?.body)
-    const told = await this.ask(job, { type: 'body', job, item }, 0)
-    if (told?.type === 'body') return readFound(told.body)
-    const head = await this.records.readHead(job)
-    if (head.err) return Err(readFailure(head.val))
-    const items = await this.records.readItems(job, head.val)
+    const response = await this.askOwner(job, { type: 'body', job, item }, 0)
+    if (response?.type === 'body') return readFound(response.body)
+    const header = await this.records.readHeader(job)
+    if (header.err) return Err(readFailure(header.val))
+    const items = await this.records.readItems(job, header.val)
     return items.ok ? readFound(items.val.find(({ id }) => id === item)?.body) : Err('unsure')
   }
 
   /** Sees to it that the job stops, at whoever owns it or takes it over; resolves once that one knows, or has had some tries. */
-  async tellEnd (job: string): Promise<void> {
+  async stopAtOwner (job: string): Promise<void> {
     this.owner.end(job)
-    const known = this.book.get(job)
-    if (known !== undefined && !known.closed) this.book.tell({ ...known, closed: true })
-    for (let tries = 0; tries < END_TRIES; tries++) {
+    const known = this.registry.get(job)
+    if (known !== undefined && !known.closed) this.registry.publish({ ...known, closed: true })
+    for (let tries = 0; tries < STOP_TRIES; tries++) {
       if (this.owner.find(job) !== undefined) return
-      if (await this.ask(job, { type: 'end', job }, CALL_SLACK) !== undefined) {
-        return this.log.write('info', 'jobs', 'told the owner of a job of its end', { job, owner: this.book.get(job)?.owner, tries })
+      if (await this.askOwner(job, { type: 'end', job }, CALL_SLACK) !== undefined) {
+        return this.log.write('info', 'jobs', 'told the owner of a job of its end', { job, owner: this.registry.get(job)?.owner, tries })
       }
-      await pauseFor(this.clock, END_PAUSE)
+      await pauseFor(this.clock, STOP_PAUSE)
     }
-    this.log.write('warn', 'jobs', 'no owner of a job confirmed its end', { job, owner: this.book.get(job)?.owner, tries: END_TRIES })
+    this.log.write('warn', 'jobs', 'no owner of a job confirmed its end', { job, owner: this.registry.get(job)?.owner, tries: STOP_TRIES })
   }
 
   /**
    * Sees to it that somebody runs a job that is stored and whose owner may not know of it, because it was told that storing
    * the job had failed. Tried until it is so: a store that was busy for the one read of its head left a confirmed job that nobody ran.
    */
-  async tellCare (job: string): Promise<void> {
-    for (let tries = 0; tries < CARE_TRIES && !await this.tryCare(job); tries++) await pauseFor(this.clock, CARE_PAUSE)
+  async ensureRunning (job: string): Promise<void> {
+    for (let tries = 0; tries < RUN_TRIES && !await this.tryEnsureRunning(job); tries++) await pauseFor(this.clock, RUN_PAUSE)
   }
 
   /** Whether somebody runs it now, or takes it over by rank because its owner has ended. */
-  private async tryCare (job: string): Promise<boolean> {
+  private async tryEnsureRunning (job: string): Promise<boolean> {
     if (this.owner.find(job) !== undefined) return true
-    const head = await this.records.readHead(job)
-    if (head.err) return head.val.type === 'missing'
-    this.book.learn(readKnownJob(job, head.val, { stored: true }))
-    if (!this.owner.isOwnerAlive(head.val)) return true
-    if (head.val.owner === this.settings.instance) return (await this.owner.adopt(job)).ok
-    return await this.ask(job, { type: 'care', job }, CALL_SLACK) !== undefined
+    const header = await this.records.readHeader(job)
+    if (header.err) return header.val.type === 'missing'
+    this.registry.addIfAbsent(readKnownJob(job, header.val, { stored: true }))
+    if (!this.owner.isOwnerAlive(header.val)) return true
+    if (header.val.owner === this.settings.instance) return (await this.owner.adopt(job)).ok
+    return await this.askOwner(job, { type: 'care', job }, CALL_SLACK) !== undefined
   }
 
   /** What this daemon knows of a job that it owns, where that can't be behind what was read elsewhere. */
   private async readOwn (id: string, after: number, wait: number): Promise<ResultsPage | undefined> {
     const job = this.owner.find(id)
-    if (job === undefined || !await this.owner.prove(job)) return undefined
+    if (job === undefined || !await this.owner.ensureCurrent(job)) return undefined
     const page = job.readPage(after)
     if (page.results.length > 0 || wait <= 0 || job.isDone || job.ended) return page
     await waitForNext(this.clock, listener => job.subscribe(listener), wait)
@@ -121,30 +121,30 @@
   }
 
   /** Asks the job's owner, where that is another daemon and alive. */
-  private async ask (job: string, question: OwnerQuestion, wait: number): Promise<OwnerAnswer | undefined> {
-    const known = this.book.get(job)
+  private async askOwner (job: string, request: OwnerRequest, wait: number): Promise<OwnerResponse | undefined> {
+    const known = this.registry.get(job)
     if (this.owner.find(job) !== undefined || known === undefined || known.owner === '' || !this.owner.isOwnerAlive(known)) return undefined
-    return await this.calls.call(known.owner, question, wait + CALL_SLACK)
+    return await this.calls.call(known.owner, request, wait + CALL_SLACK)
   }
 
-  private async answer (question: OwnerQuestion): Promise<OwnerAnswer | undefined> {
-    switch (question.type) {
+  private async answer (request: OwnerRequest): Promise<OwnerResponse | undefined> {
+    switch (request.type) {
       case 'read': {
-        const page = await this.readOwn(question.job, question.after, question.wait)
+        const page = await this.readOwn(request.job, request.after, request.wait)
         return page === undefined ? undefined : { type: 'page', page }
       }
       case 'body': {
-        const job = this.owner.find(question.job)
-        return job === undefined || job.isDone ? undefined : { type: 'body', body: job.find(question.item)?.body }
+        const job = this.owner.find(request.job)
+        return job === undefined || job.isDone ? undefined : { type: 'body', body: job.find(request.item)?.body }
       }
       case 'end': {
-        const isOwned = this.owner.find(question.job) !== undefined
-        this.log.write('info', 'jobs', 'was told of the end of a job', { job: question.job, owned: isOwned })
-        this.owner.end(question.job)
+        const isOwned = this.owner.find(request.job) !== undefined
+        this.log.write('info', 'jobs', 'was told of the end of a job', { job: request.job, owned: isOwned })
+        this.owner.end(request.job)
         return isOwned ? { type: 'done' } : undefined
       }
       case 'care': {
-        const adopted = await this.owner.adopt(question.job)
+        const adopted = await this.owner.adopt(request.job)
         return adopted.ok ? { type: 'done' } : undefined
       }
     }
@@ -154,9 +154,9 @@
   private async readStored (id: string): Promise<Result<OwnedJob, Failure>> {
     let job = this.cached.get(id)
     if (job === undefined) {
-      const head = await this.records.readHead(id)
-      if (head.err) return Err(readFailure(head.val))
-      job = new OwnedJob({ id, head: head.val, items: [], segments: [], acceptedAt: 0 })
+      const header = await this.records.readHeader(id)
+      if (header.err) return Err(readFailure(header.val))
+      job = new OwnedJob({ id, header: header.val, items: [], segments: [], acceptedAt: 0 })
       this.cached.set(id, job)
       if (this.cached.size > MAX_CACHED) this.cached.delete(this.cached.keys().next().value!)
     }
--- a/src/jobs/job-records.ts
+++ b/src/jobs/job-records.ts
@@ -7,11 +7,11 @@
 import type { WatchBatch } from '../store/watch-batch.js'
 import type { ListedResult } from './listed-result.js'
 import type { ItemProgress } from './item-progress.js'
-import type { JobHead } from './job-head.js'
+import type { JobHeader } from './job-header.js'
 import type { JobItem } from './job-item.js'
 import { splitBySize } from './split-by-size.js'
 
-const HEADS = 'jobs'
+const HEADERS = 'jobs'
 const ITEMS = 'job-items'
 const RESULTS = 'job-results'
 const ENDS = 'job-ends'
@@ -37,21 +37,21 @@
    * `conflict` says that a job of this id is there already. Where its head may be stored nothing is promised: the items that this
    * attempt couldn't store may be there from an earlier one, whose caller was told that nothing runs, or come by a later one.
    */
-  async create (id: string, head: Omit<JobHead, 'parts'>, items: readonly JobItem[]): Promise<Result<void, StoreError>> {
+  async create (id: string, header: Omit<JobHeader, 'parts'>, items: readonly JobItem[]): Promise<Result<void, StoreError>> {
     const parts = splitBySize(items, ({ body }) => body.length + ITEM_OVERHEAD, OBJECT_BYTES)
     const [written, ...stored] = await Promise.all([
-      this.createOnce(HEADS, id, { ...head, parts: parts.length } satisfies JobHead),
+      this.createOnce(HEADERS, id, { ...header, parts: parts.length } satisfies JobHeader),
       ...parts.map(async (part, i) => await this.createOnce(ITEMS, `${id}.${i}`, part))
     ])
     const isWhole = stored.every(result => result.ok || result.val.type === 'conflict')
     return isWhole || !mayBeStored(written) ? written : Err({ type: 'unknown', reason: 'its head may be stored, and its items are not' })
   }
 
-  async readHead (id: string): Promise<Result<JobHead, StoreError>> {
-    return (await this.store.get<JobHead>(HEADS, id, 'caller')).map(({ value }) => value)
+  async readHeader (id: string): Promise<Result<JobHeader, StoreError>> {
+    return (await this.store.get<JobHeader>(HEADERS, id, 'caller')).map(({ value }) => value)
   }
 
-  async readItems (id: string, { parts }: JobHead): Promise<Result<readonly JobItem[], StoreError>> {
+  async readItems (id: string, { parts }: JobHeader): Promise<Result<readonly JobItem[], StoreError>> {
     const read = await Promise.all(Array.from({ length: parts }, async (_, i) => await this.store.get<readonly JobItem[]>(ITEMS, `${id}.${i}`, 'caller')))
     const failed = read.find(result => result.err)
     if (failed?.err === true) return failed
@@ -109,17 +109,17 @@
   }
 
   /** The ends stored since the cursor of the last read, -1 before the first; at once, whether there are any or not. */
-  async readEnds (cursor: number): Promise<Result<WatchBatch<boolean>, StoreError>> {
+  async readEndedJobs (cursor: number): Promise<Result<WatchBatch<boolean>, StoreError>> {
     return await this.store.watch<boolean>(ENDS, cursor, READ_WAIT, 'caller')
   }
 
-  async listHeads (): Promise<Result<ReadonlyMap<string, JobHead>, StoreError>> {
-    const heads = new Map<string, JobHead>()
-    for await (const page of listPages<JobHead>(this.store, HEADS)) {
+  async listHeaders (): Promise<Result<ReadonlyMap<string, JobHeader>, StoreError>> {
+    const headers = new Map<string, JobHeader>()
+    for await (const page of listPages<JobHeader>(this.store, HEADERS)) {
       if (page.err) return page
-      for (const { name, value } of page.val) heads.set(name, value)
+      for (const { name, value } of page.val) headers.set(name, value)
     }
-    return Ok(heads)
+    return Ok(headers)
   }
 
   /**
@@ -127,14 +127,14 @@
    * where there is no such job.
    */
   async remove (id: string): Promise<Result<void, StoreError>> {
-    const head = await this.readHead(id)
-    if (head.err) return head
+    const header = await this.readHeader(id)
+    if (header.err) return header
     for (let segment = 0; ; segment++) {
       const removed = await this.removeOne(RESULTS, `${id}.${segment}`)
       if (removed.err && removed.val.type === 'missing') break
       if (removed.err) return removed
     }
-    const rest: ReadonlyArray<readonly [string, string]> = [...Array.from({ length: head.val.parts }, (_, i): [string, string] => [ITEMS, `${id}.${i}`]), [PROGRESS, id], [ENDS, id], [HEADS, id]]
+    const rest: ReadonlyArray<readonly [string, string]> = [...Array.from({ length: header.val.parts }, (_, i): [string, string] => [ITEMS, `${id}.${i}`]), [PROGRESS, id], [ENDS, id], [HEADERS, id]]
     for (const [kind, name] of rest) {
       const removed = await this.removeOne(kind, name)
       if (removed.err && removed.val.type !== 'missing') return removed
--- a/src/jobs/job-registry.ts
+++ b/src/jobs/job-registry.ts
@@ -13,15 +13,15 @@
 @scoped(Lifecycle.ContainerScoped)
 export class JobRegistry {
   readonly extensions = [
-    peerHandlerPoint.of({ type: MESSAGE, handle: message => this.hear(message) }),
-    peerHandlerPoint.of({ type: SEEN_MESSAGE, handle: message => this.hearSeen(message) }),
+    peerHandlerPoint.of({ type: MESSAGE, handle: message => this.receive(message) }),
+    peerHandlerPoint.of({ type: SEEN_MESSAGE, handle: message => this.receiveSeen(message) }),
     peerHandlerPoint.of({ type: GONE_MESSAGE, handle: ({ id }) => { this.jobs.delete(String(id)) } })
   ]
 
   private readonly jobs = new Map<string, KnownJob>()
   private readonly listeners = new Set<(job: KnownJob) => void>()
 
-  constructor (@inject(FleetBroadcast) private readonly cast: FleetBroadcast) {}
+  constructor (@inject(FleetBroadcast) private readonly fleet: FleetBroadcast) {}
 
   get (id: string): KnownJob | undefined {
     return this.jobs.get(id)
@@ -37,47 +37,47 @@
   }
 
   /** Takes what this daemon knows first and tells the others. */
-  tell (job: KnownJob): void {
+  publish (job: KnownJob): void {
     this.jobs.set(job.id, job)
-    this.cast.broadcast({ type: MESSAGE, job }, `${MESSAGE} ${job.id}`)
+    this.fleet.broadcast({ type: MESSAGE, job }, `${MESSAGE} ${job.id}`)
   }
 
   /** Tells the others of a job that this daemon doesn't own, which they may not know of; what they know goes first. */
-  tellSeen (job: KnownJob): void {
-    this.cast.broadcast({ type: SEEN_MESSAGE, job }, `${SEEN_MESSAGE} ${job.id}`)
+  publishSeen (job: KnownJob): void {
+    this.fleet.broadcast({ type: SEEN_MESSAGE, job }, `${SEEN_MESSAGE} ${job.id}`)
   }
 
   /** Takes what the store says, unless more is known. */
-  learn (job: KnownJob): void {
+  addIfAbsent (job: KnownJob): void {
     if (!this.jobs.has(job.id)) this.jobs.set(job.id, job)
   }
 
   /** Drops a job that is no longer stored, here and at the others. */
   forget (id: string): void {
     this.jobs.delete(id)
-    this.cast.broadcast({ type: GONE_MESSAGE, id }, `${GONE_MESSAGE} ${id}`)
+    this.fleet.broadcast({ type: GONE_MESSAGE, id }, `${GONE_MESSAGE} ${id}`)
   }
 
   /** Tokens of unfinished items of the jobs that `isOn` says are on a route. */
-  countWaiting (isOn: (job: KnownJob) => boolean): number {
+  countWaitingTokens (isOn: (job: KnownJob) => boolean): number {
     return this.list().reduce((sum, job) => sum + (!job.closed && isOn(job) ? job.tokensLeft : 0), 0)
   }
 
   /** Listeners hear it in any case: an owner then says that it is one. */
-  private hearSeen ({ job }: PeerMessage): void {
-    const told = job as KnownJob
-    if (typeof told?.id !== 'string') return
-    this.learn(told)
-    for (const listener of this.listeners) listener(told)
+  private receiveSeen ({ job }: PeerMessage): void {
+    const received = job as KnownJob
+    if (typeof received?.id !== 'string') return
+    this.addIfAbsent(received)
+    for (const listener of this.listeners) listener(received)
   }
 
   /** What was closed stays so, whatever an owner says that hasn't heard. */
-  private hear ({ job }: PeerMessage): void {
-    const told = job as KnownJob
-    if (typeof told?.id !== 'string' || typeof told.owner !== 'string') return
-    const known = this.jobs.get(told.id)
-    const next = known?.closed === true ? { ...told, closed: true } : told
-    this.jobs.set(told.id, next)
+  private receive ({ job }: PeerMessage): void {
+    const received = job as KnownJob
+    if (typeof received?.id !== 'string' || typeof received.owner !== 'string') return
+    const known = this.jobs.get(received.id)
+    const next = known?.closed === true ? { ...received, closed: true } : received
+    this.jobs.set(received.id, next)
     for (const listener of this.listeners) listener(next)
   }
 }
--- a/src/jobs/job-request-handler.ts
+++ b/src/jobs/job-request-handler.ts
@@ -50,7 +50,7 @@
     @inject(tokens.log) private readonly log: LogSink,
     @inject(Metrics) private readonly metrics: Metrics,
     @inject(ConfigurationHolder) private readonly configuration: ConfigurationHolder,
-    @inject(JobRegistry) private readonly book: JobRegistry,
+    @inject(JobRegistry) private readonly registry: JobRegistry,
     @inject(JobOwner) private readonly owner: JobOwner,
     @inject(JobReader) private readonly reader: JobReader,
     @inject(JobRecords) private readonly records: JobRecords
@@ -59,9 +59,9 @@
   async submit ({ id, route, path, body, arrived }: Submission, res: ServerResponse): Promise<void> {
     const items = this.dialect.readItems(body)
     if (items === undefined || id === '') return sendJson(res, BAD_REQUEST, { cause: 'bad job', detail: 'items: must be 1 to 200 with an id, a path and a body each' })
-    if (this.book.get(id)?.stored === true) return this.confirm(id, res, 'known')
+    if (this.registry.get(id)?.stored === true) return this.confirm(id, res, 'known')
     const size = items.reduce((sum, item) => sum + item.tokens, 0)
-    if (!this.fits(route, size) && !await this.isStored(id)) return this.refuseFull(id, size, res)
+    if (!this.fits(route, size) && !await this.isStored(id)) return this.refuseOverLimit(id, size, res)
     this.accepting.set(id, { host: route.host, path, tokens: size })
     const accepted = await this.owner.accept(id, { host: route.host, path }, items)
     this.accepting.delete(id)
@@ -69,7 +69,7 @@
     if (accepted.ok) return this.confirm(id, res, 'accepted', items)
     switch (accepted.val.type) {
       case 'conflict': {
-        void this.reader.tellCare(id)
+        void this.reader.ensureRunning(id)
         return this.confirm(id, res, 'stored before')
       }
       case 'limited':
@@ -106,16 +106,16 @@
 
   /** Answered once the end is stored: whoever takes the job over later reads it. */
   private async end ({ job }: Extract<JobCall, { type: 'end' }>, res: ServerResponse): Promise<void> {
-    const known = this.book.get(job)
+    const known = this.registry.get(job)
     if (known === undefined) {
-      const head = await this.records.readHead(job)
-      if (head.err) return this.answerFailure(head.val.type === 'missing' ? 'missing' : 'unsure', job, res)
-      this.book.learn(readKnownJob(job, head.val, { stored: true }))
+      const header = await this.records.readHeader(job)
+      if (header.err) return this.answerFailure(header.val.type === 'missing' ? 'missing' : 'unsure', job, res)
+      this.registry.addIfAbsent(readKnownJob(job, header.val, { stored: true }))
     }
     const ended = await this.records.end(job)
     if (ended.err) return this.answerFailure('unsure', job, res)
     this.log.write('info', 'jobs', 'a job was ended', { job, owner: known?.owner, known: known !== undefined })
-    void this.reader.tellEnd(job)
+    void this.reader.stopAtOwner(job)
     sendJson(res, 200, {})
   }
 
@@ -130,16 +130,16 @@
     if (most === 0) return true
     const isOn = (job: { readonly host: string, readonly path: string }): boolean => job.host === host && job.path.startsWith(pathPrefix)
     const accepting = [...this.accepting.values()].reduce((sum, job) => sum + (isOn(job) ? job.tokens : 0), 0)
-    return this.book.countWaiting(isOn) + accepting + size <= most
+    return this.registry.countWaitingTokens(isOn) + accepting + size <= most
   }
 
   /** A job that was accepted before and comes again to a daemon that hasn't heard of it is no new one; what isn't known may be. */
   private async isStored (id: string): Promise<boolean> {
-    const head = await this.records.readHead(id)
-    return head.ok || head.val.type !== 'missing'
+    const header = await this.records.readHeader(id)
+    return header.ok || header.val.type !== 'missing'
   }
 
-  private refuseFull (id: string, size: number, res: ServerResponse): void {
+  private refuseOverLimit (id: string, size: number, res: ServerResponse): void {
     this.log.write('warn', 'jobs', 'refused a job', { request: id, cause: 'too many tokens wait', tokens: size })
     this.metrics.count('jobs_total', { outcome: 'full' })
     sendJson(res, TOO_MANY, { cause: 'too many tokens wait' }, { 'retry-after': this.random.spread(FULL_RETRY).toFixed(3) })
--- a/src/jobs/job-runner.ts
+++ b/src/jobs/job-runner.ts
@@ -17,16 +17,16 @@
 import { Sender } from '../routing/sender.js'
 import type { ServerDialect } from '../routing/server-dialect.js'
 import { Servers } from '../routing/servers.js'
-import { findEnd } from './find-end.js'
+import { findAbandonReason } from './find-abandon-reason.js'
 import type { ItemOutcome } from './item-outcome.js'
-import { ItemPace } from './item-pace.js'
+import { ItemDurationEstimator } from './item-duration-estimator.js'
 import { ItemRun } from './item-run.js'
 import type { ItemState } from './item-state.js'
 import { RouteFinder } from './route-finder.js'
 import type { OwnedJob } from './owned-job.js'
 
 /** How often brokers are asked for slots while items wait, ms: a few steps of an engine. */
-const ASK_PERIOD = 50
+const SLOT_REQUEST_PERIOD = 50
 /** How often it is looked whether items are to be given up while none waits, ms. */
 const IDLE_PERIOD = 500
 /** Pause of an item after a run that came to nothing, ms; it doubles with each in a row. */
@@ -34,7 +34,7 @@
 const LONGEST_PAUSE = 1_000
 
 /** Slots that are asked for at once from a broker. */
-const ASKED = 4
+const SLOTS_PER_REQUEST = 4
 
 /** An item with its job's route; when the job is due, monotonic ms, and how much longer the item would run, ms. */
 interface RunnableItem { readonly job: OwnedJob, readonly state: ItemState, readonly route: Route, readonly due: number, readonly remaining: number }
@@ -49,16 +49,16 @@
   private readonly listeners = new Set<(job: OwnedJob) => void>()
   private readonly routes: RouteFinder
   private draining = false
-  private looking = false
+  private requestScheduled = false
   private cancel = (): void => {}
 
   constructor (
     @inject(ServerLoads) private readonly loads: ServerLoads,
-    @inject(SlotClient) private readonly asker: SlotClient,
+    @inject(SlotClient) private readonly slots: SlotClient,
     @inject(Sender) private readonly sender: Sender,
     @inject(Servers) private readonly servers: Servers,
     @inject(ConfigurationHolder) configuration: ConfigurationHolder,
-    @inject(ItemPace) private readonly pace: ItemPace,
+    @inject(ItemDurationEstimator) private readonly durations: ItemDurationEstimator,
     @inject(PauseWatch) private readonly pauses: PauseWatch,
     @inject(Metrics) private readonly metrics: Metrics,
     @inject(tokens.servers) private readonly dialect: ServerDialect,
@@ -71,7 +71,7 @@
   }
 
   async start (): Promise<void> {
-    this.asker.subscribe({ onGrant: (pool, server) => this.useGrant(pool, server), onRevoke: server => this.stopLast(server) })
+    this.slots.subscribe({ onGrant: (pool, server) => this.useGrant(pool, server), onRevoke: server => this.stopLast(server) })
     this.cancel = this.clock.every(IDLE_PERIOD, () => this.wake())
   }
 
@@ -104,35 +104,35 @@
   /** Stops the item at a server, whose slot is needed, that would be the last to start. */
   private stopLast (server: string): void {
     const there = [...this.running].filter(({ run, state }) => run.server === server && state.phase === 'running')
-    const last = orderBatch(there.map(running => ({ ...this.weigh(running), running })), this.clock.now()).at(-1)
+    const last = orderBatch(there.map(running => ({ ...this.buildRunnable(running), running })), this.clock.now()).at(-1)
     if (last === undefined) return
     last.state.phase = 'waiting'
     last.running.run.stop()
   }
 
-  private weigh ({ job, state, route }: Pick<RunnableItem, 'job' | 'state' | 'route'>): RunnableItem {
-    return { job, state, route, due: job.acceptedAt + (route.jobs?.dueAfter ?? Infinity), remaining: this.pace.estimateRemaining(state) }
+  private buildRunnable ({ job, state, route }: Pick<RunnableItem, 'job' | 'state' | 'route'>): RunnableItem {
+    return { job, state, route, due: job.acceptedAt + (route.jobs?.dueAfter ?? Infinity), remaining: this.durations.estimateRemaining(state) }
   }
 
   /** Looks for slots at once, and again and again while items wait: a daemon without any has nothing to wake for. */
   private wake (): void {
-    if (this.looking || this.jobs.size === 0) return
-    this.looking = true
-    this.clock.after(this.random.spread(ASK_PERIOD), () => {
-      this.looking = false
-      if (this.askSlots()) this.wake()
+    if (this.requestScheduled || this.jobs.size === 0) return
+    this.requestScheduled = true
+    this.clock.after(this.random.spread(SLOT_REQUEST_PERIOD), () => {
+      this.requestScheduled = false
+      if (this.requestSlots()) this.wake()
     })
   }
 
   /** Asks for slots for the items that wait; whether any does. */
-  private askSlots (): boolean {
+  private requestSlots (): boolean {
     if (this.draining) return false
     const waiting = this.listWaiting()
     const first = waiting[0]
     if (first === undefined) return false
     const pool = chooseService(first.route.services, this.random)
     const { due, remaining } = first
-    if (pool !== undefined) this.asker.askBatch(pool, { count: Math.min(ASKED, waiting.length), due, remaining })
+    if (pool !== undefined) this.slots.askBatch(pool, { count: Math.min(SLOTS_PER_REQUEST, waiting.length), due, remaining })
     return true
   }
 
@@ -145,9 +145,9 @@
       const route = this.routes.find(job)
       const mayStart = this.mayStart(job)
       for (const state of job.items) {
-        if (this.giveUp(job, state, route, now)) continue
+        if (this.abandonIfExpired(job, state, route, now)) continue
         const isFree = mayStart && state.phase === 'waiting' && now >= state.notBefore && !busy.has(state)
-        if (isFree && route?.jobs !== undefined) waiting.push(this.weigh({ job, state, route }))
+        if (isFree && route?.jobs !== undefined) waiting.push(this.buildRunnable({ job, state, route }))
       }
     }
     return orderBatch(waiting, now)
@@ -166,9 +166,9 @@
   }
 
   /** An item whose route has gone, or whose time is over, ends without having been done. */
-  private giveUp (job: OwnedJob, state: ItemState, route: Route | undefined, now: number): boolean {
+  private abandonIfExpired (job: OwnedJob, state: ItemState, route: Route | undefined, now: number): boolean {
     if (state.phase === 'ended') return true
-    const cause = findEnd({ route, routeMissedAt: this.routes.findMissing(job), acceptedAt: job.acceptedAt, now })
+    const cause = findAbandonReason({ route, routeMissedAt: this.routes.findMissedAt(job), acceptedAt: job.acceptedAt, now })
     if (cause === undefined) return false
     this.finish(job, state, 'failed', cause)
     for (const running of this.running) if (running.state === state) running.run.stop()
@@ -176,7 +176,7 @@
   }
 
   private startItem ({ job, state, route }: RunnableItem, pool: string, server: string): void {
-    const run = new ItemRun({ state, host: job.head.host, pool, server, mayStart: () => this.mayStart(job) && state.phase === 'running', clock: this.clock, sender: this.sender, servers: this.servers, dialect: this.dialect })
+    const run = new ItemRun({ state, host: job.header.host, pool, server, mayStart: () => this.mayStart(job) && state.phase === 'running', clock: this.clock, sender: this.sender, servers: this.servers, dialect: this.dialect })
     const running = { job, state, route, run }
     const [startedAt, events] = [this.clock.now(), state.last ?? 0]
     state.phase = 'running'
@@ -184,12 +184,12 @@
     this.log.write('info', 'jobs', 'started an item', { request: state.item.id, job: job.id, server, events: state.last })
     void run.run().then(outcome => {
       this.running.delete(running)
-      this.pace.recordRun((state.last ?? 0) - events, this.clock.now() - startedAt)
-      this.settle(running, outcome)
+      this.durations.recordRun((state.last ?? 0) - events, this.clock.now() - startedAt)
+      this.handleOutcome(running, outcome)
     })
   }
 
-  private settle ({ job, state, route, run }: Running, outcome: ItemOutcome): void {
+  private handleOutcome ({ job, state, route, run }: Running, outcome: ItemOutcome): void {
     this.metrics.count('batch_runs_total', { outcome: outcome.type })
     this.wake()
     if (state.phase === 'ended') return
@@ -203,7 +203,7 @@
         return this.loads.markFull(run.server)
       }
       case 'withheld': {
-        this.log.write('info', 'jobs', 'withheld an item', { request: state.item.id, job: job.id, server: run.server, ended: job.ended, lookAge: Math.round(this.clock.now() - (job.look.seen ?? -Infinity)) })
+        this.log.write('info', 'jobs', 'withheld an item', { request: state.item.id, job: job.id, server: run.server, ended: job.ended, lookAge: Math.round(this.clock.now() - (job.lastRead.seen ?? -Infinity)) })
         state.notBefore = this.clock.now() + FIRST_PAUSE
         return
       }
@@ -226,7 +226,7 @@
 
   private finish (job: OwnedJob, state: ItemState, result: 'completed' | 'failed', text: string): void {
     if (job.ended || !this.jobs.has(job)) return
-    if (result === 'completed') this.pace.recordEnd(state)
+    if (result === 'completed') this.durations.recordEnd(state)
     job.finish(state, { id: state.item.id, state: result, text: result === 'completed' ? text : '' })
     this.log.write('info', 'jobs', 'an item ended', { request: state.item.id, job: job.id, result, events: state.last, failures: state.failures, after: Math.round(this.clock.now() - job.acceptedAt), detail: result === 'failed' ? text : undefined })
     for (const listener of this.listeners) listener(job)
--- a/src/jobs/owned-job.ts
+++ b/src/jobs/owned-job.ts
@@ -3,7 +3,7 @@
 import type { ItemProgress } from './item-progress.js'
 import type { ListedResult } from './listed-result.js'
 import type { ItemState } from './item-state.js'
-import type { JobHead } from './job-head.js'
+import type { JobHeader } from './job-header.js'
 import type { JobItem } from './job-item.js'
 import type { KnownJob } from './known-job.js'
 import type { ResultsPage } from './results-page.js'
@@ -11,53 +11,53 @@
 /** Bytes of results in one answer. */
 const PAGE_BYTES = 500_000
 /** Oldest look at whether it has ended with which its items start, ms: callers are promised that none runs 3 s after an end. */
-const FRESH_LOOK = 2_500
+const MAX_READ_AGE = 2_500
 
 interface OwnedJobOptions {
   readonly id: string
-  readonly head: JobHead
+  readonly header: JobHeader
   readonly items: readonly JobItem[]
   readonly segments: ReadonlyArray<readonly ListedResult[]>
   /** Monotonic ms of its acceptance. */
   readonly acceptedAt: number
   /** Monotonic ms at which the store knew of no end of it. */
-  readonly openAt?: number
+  readonly readAt?: number
   /** From whom it was taken over, in the life in which that one had it. */
-  readonly former?: Pick<KnownJob, 'owner' | 'run'>
+  readonly formerOwner?: Pick<KnownJob, 'owner' | 'run'>
 }
 
 /** A job that this daemon runs: its items, and the results that are stored or wait to be. */
 export class OwnedJob {
   readonly id: string
-  readonly head: JobHead
+  readonly header: JobHeader
   readonly acceptedAt: number
-  readonly former: Pick<KnownJob, 'owner' | 'run'> | undefined
+  readonly formerOwner: Pick<KnownJob, 'owner' | 'run'> | undefined
   readonly items: readonly ItemState[]
   /** Set when its caller ended it: nothing of it runs any more. */
   ended = false
   /** When the store was last seen to know of no end of it. */
-  look: LastRead
+  lastRead: LastRead
   /** Whether a segment of its results is being stored, and when the last was begun; monotonic ms. */
   isStoring = false
   storedAt = -Infinity
   /** Monotonic ms at which the others were last told how much of it is left. */
-  toldAt = -Infinity
+  publishedAt = -Infinity
   /** Until when another daemon may own it too and have stored results that aren't known here, monotonic ms. */
-  doubtfulUntil = -Infinity
+  contestedUntil = -Infinity
   /** Results that aren't stored yet. */
   readonly pending: ListedResult[] = []
   /** Stored segments of results. */
   segments: number
   private readonly results: ListedResult[]
   private readonly listed: Set<string>
-  private readonly readers = new Set<() => void>()
+  private readonly listeners = new Set<() => void>()
 
-  constructor ({ id, head, items, segments, acceptedAt, openAt, former }: OwnedJobOptions) {
+  constructor ({ id, header, items, segments, acceptedAt, readAt, formerOwner }: OwnedJobOptions) {
     this.id = id
-    this.head = head
+    this.header = header
     this.acceptedAt = acceptedAt
-    this.former = former
-    this.look = { seen: openAt, unreachable: false }
+    this.formerOwner = formerOwner
+    this.lastRead = { seen: readAt, unreachable: false }
     this.segments = segments.length
     this.results = segments.flat()
     this.listed = new Set(this.results.map(result => result.id))
@@ -65,12 +65,12 @@
   }
 
   get isDone (): boolean {
-    return this.results.length >= this.head.total
+    return this.results.length >= this.header.total
   }
 
   /** Whether its items may run now, monotonic ms: only as long as it is known not to have been ended. */
   mayStart (now: number): boolean {
-    return !this.ended && mayStart(this.look, now, { fresh: FRESH_LOOK })
+    return !this.ended && mayStart(this.lastRead, now, { fresh: MAX_READ_AGE })
   }
 
   get tokensLeft (): number {
@@ -87,7 +87,7 @@
   }
 
   /** Goes on from where another daemon got to; an item that has come further here stays. */
-  useProgress (progress: readonly ItemProgress[]): void {
+  applyProgress (progress: readonly ItemProgress[]): void {
     for (const { id, last, texts, failures } of progress) {
       const state = this.items.find(({ item }) => item.id === id)
       if (state === undefined || state.phase !== 'waiting' || (state.last ?? -1) >= last) continue
@@ -120,7 +120,7 @@
     }
     const left = this.pending.filter(({ id }) => !this.listed.has(id))
     this.pending.splice(0, this.pending.length, ...left)
-    this.wake()
+    this.notify()
   }
 
   readPage (after: number): ResultsPage {
@@ -131,16 +131,16 @@
       if (results.length > 0 && size > PAGE_BYTES) break
       results.push(result)
     }
-    return { total: this.head.total, results, next: after + results.length }
+    return { total: this.header.total, results, next: after + results.length }
   }
 
   /** Calls `listener` at the next change of its results; the function it gives back ends that. */
   subscribe (listener: () => void): () => void {
-    this.readers.add(listener)
-    return () => this.readers.delete(listener)
+    this.listeners.add(listener)
+    return () => this.listeners.delete(listener)
   }
 
-  wake (): void {
-    for (const reader of [...this.readers]) reader()
+  notify (): void {
+    for (const listener of [...this.listeners]) listener()
   }
 }
--- a/src/jobs/owner-conflict-resolver.ts
+++ b/src/jobs/owner-conflict-resolver.ts
@@ -13,9 +13,9 @@
 import type { OwnedJob } from './owned-job.js'
 
 /** How long a job counts as one that another daemon may own too, after the last sign of it, ms: several tells and their answers. */
-const DOUBT = 3_000
+const CONTESTED_TIME = 3_000
 /** How often the others are told of such a job, ms. */
-const TELL_PERIOD = 500
+const PUBLISH_PERIOD = 500
 
 /**
  * Two daemons that own one job find each other, and one gives way. An owner that stood still, or was cut off, goes on with what
@@ -26,12 +26,12 @@
 @scoped(Lifecycle.ContainerScoped)
 export class OwnerConflictResolver implements Part {
   /** Jobs whose former owner was alive at the last look. */
-  private readonly returned = new WeakSet<OwnedJob>()
+  private readonly formerOwnerAlive = new WeakSet<OwnedJob>()
   private cancel = (): void => {}
 
   constructor (
     @inject(JobOwner) private readonly owner: JobOwner,
-    @inject(JobRegistry) private readonly book: JobRegistry,
+    @inject(JobRegistry) private readonly registry: JobRegistry,
     @inject(PauseWatch) private readonly pauses: PauseWatch,
     @inject(tokens.settings) private readonly settings: Settings,
     @inject(tokens.log) private readonly log: LogSink,
@@ -39,9 +39,9 @@
   ) {}
 
   async start (): Promise<void> {
-    this.pauses.subscribe(() => { for (const job of this.owner.list()) this.doubt(job) })
-    this.book.subscribe(told => this.handleNews(told))
-    this.cancel = this.clock.every(TELL_PERIOD, () => this.check())
+    this.pauses.subscribe(() => { for (const job of this.owner.list()) this.markContested(job) })
+    this.registry.subscribe(received => this.handleUpdate(received))
+    this.cancel = this.clock.every(PUBLISH_PERIOD, () => this.check())
   }
 
   async stop (): Promise<void> {
@@ -52,42 +52,42 @@
     this.pauses.check()
     const now = this.clock.now()
     for (const job of this.owner.list()) {
-      if (this.isFormerBack(job)) this.doubt(job)
-      if (now < job.doubtfulUntil) this.book.tell(this.owner.show(job))
+      if (this.hasFormerOwnerReturned(job)) this.markContested(job)
+      if (now < job.contestedUntil) this.registry.publish(this.owner.buildKnownJob(job))
     }
   }
 
-  private isFormerBack (job: OwnedJob): boolean {
-    const wasBack = this.returned.has(job)
-    const isBack = job.former !== undefined && this.owner.isOwnerAlive(job.former)
-    if (isBack) this.returned.add(job)
-    else this.returned.delete(job)
-    return isBack && !wasBack
+  private hasFormerOwnerReturned (job: OwnedJob): boolean {
+    const wasAlive = this.formerOwnerAlive.has(job)
+    const isAlive = job.formerOwner !== undefined && this.owner.isOwnerAlive(job.formerOwner)
+    if (isAlive) this.formerOwnerAlive.add(job)
+    else this.formerOwnerAlive.delete(job)
+    return isAlive && !wasAlive
   }
 
   /** A job whose results are all known can't be behind another owner. */
-  private doubt (job: OwnedJob): void {
+  private markContested (job: OwnedJob): void {
     if (job.isDone) return
     const now = this.clock.now()
-    if (now >= job.doubtfulUntil) void this.owner.checkEnd(job.id)
-    job.doubtfulUntil = now + DOUBT
+    if (now >= job.contestedUntil) void this.owner.checkEnded(job.id)
+    job.contestedUntil = now + CONTESTED_TIME
   }
 
   /**
    * Another daemon says that it owns what this one owns: both know by rank which of them keeps it. One that takes it for
    * without an owner, or for that of a daemon that has ended, is told better.
    */
-  private handleNews (told: KnownJob): void {
+  private handleUpdate (received: KnownJob): void {
     const { instance } = this.settings
-    const job = this.owner.find(told.id)
+    const job = this.owner.find(received.id)
     if (job === undefined) return
-    const isAlive = this.owner.isOwnerAlive(told)
-    if (told.owner === instance && isAlive) return
-    if (told.owner !== '' && told.owner !== instance) this.doubt(job)
-    if (!isAlive) return this.book.tell(this.owner.show(job))
-    if (rankOwners(told.id, [instance, told.owner])[0] === instance) return
-    this.log.write('info', 'jobs', 'gave a job to its other owner', { job: job.id, to: told.owner, results: job.readPage(0).next, of: job.head.total })
-    this.owner.giveWay(job, told.owner)
+    const isAlive = this.owner.isOwnerAlive(received)
+    if (received.owner === instance && isAlive) return
+    if (received.owner !== '' && received.owner !== instance) this.markContested(job)
+    if (!isAlive) return this.registry.publish(this.owner.buildKnownJob(job))
+    if (rankOwners(received.id, [instance, received.owner])[0] === instance) return
+    this.log.write('info', 'jobs', 'gave a job to its other owner', { job: job.id, to: received.owner, results: job.readPage(0).next, of: job.header.total })
+    this.owner.releaseTo(job, received.owner)
   }
 }
 
--- a/src/jobs/owner-question.ts
+++ b/src/jobs/owner-request.ts
@@ -1,5 +1,5 @@
 /** What a daemon asks the owner of a job. `wait` in ms. */
-export type OwnerQuestion =
+export type OwnerRequest =
   | { readonly type: 'read', readonly job: string, readonly after: number, readonly wait: number }
   | { readonly type: 'body', readonly job: string, readonly item: string }
   | { readonly type: 'end', readonly job: string }
--- a/src/jobs/result-writer.ts
+++ b/src/jobs/result-writer.ts
@@ -48,7 +48,7 @@
     const from = job.segments
     const segments = await this.options.records.readSegments(job.id, from)
     if (segments.err) return false
-    segments.val.forEach((results, i) => this.take(job, from + i, results))
+    segments.val.forEach((results, i) => this.addSegment(job, from + i, results))
     return true
   }
 
@@ -57,20 +57,20 @@
     const [results = []] = splitBySize(job.pending, ({ text }) => text.length, SEGMENT_BYTES)
     const { segments } = job
     const created = await records.createSegment(job.id, segments, results)
-    if (created.ok) this.take(job, segments, results)
-    else if (created.val.type === 'conflict') return await this.takeOther(job, segments)
+    if (created.ok) this.addSegment(job, segments, results)
+    else if (created.val.type === 'conflict') return await this.addStoredSegment(job, segments)
     else log.write('warn', 'jobs', 'results could not be stored yet', { job: job.id, error: created.val.type, waiting: job.pending.length })
     return created.ok
   }
 
   /** Another daemon has created the segment, or this one has and never heard so. */
-  private async takeOther (job: OwnedJob, segment: number): Promise<boolean> {
+  private async addStoredSegment (job: OwnedJob, segment: number): Promise<boolean> {
     const read = await this.options.records.readSegment(job.id, segment)
-    if (read.ok) this.take(job, segment, read.val)
+    if (read.ok) this.addSegment(job, segment, read.val)
     return read.ok
   }
 
-  private take (job: OwnedJob, segment: number, results: readonly ListedResult[]): void {
+  private addSegment (job: OwnedJob, segment: number, results: readonly ListedResult[]): void {
     job.addSegment(segment, results)
     if (this.options.isOwned(job)) this.options.onStored(job)
   }
--- a/src/jobs/route-finder.ts
+++ b/src/jobs/route-finder.ts
@@ -19,7 +19,7 @@
   find (job: OwnedJob): Route | undefined {
     const { clock, getConfiguration } = this.options
     const { version, routes = {} } = getConfiguration()
-    const route = findRoute(Object.values(routes), job.head.host, job.head.path)
+    const route = findRoute(Object.values(routes), job.header.host, job.header.path)
     // A daemon that knows no configuration yet knows nothing of routes either.
     if (route !== undefined || version === 0) this.missedAt.delete(job)
     else if (!this.missedAt.has(job)) this.missedAt.set(job, clock.now())
@@ -27,7 +27,7 @@
   }
 
   /** Since when the job's route isn't in the configuration, monotonic ms. */
-  findMissing (job: OwnedJob): number | undefined {
+  findMissedAt (job: OwnedJob): number | undefined {
     return this.missedAt.get(job)
   }
 }
--- a/test/jobs/ended-job-lookup.test.ts
+++ b/test/jobs/ended-job-lookup.test.ts
@@ -16,27 +16,27 @@
 const JOB = 'j'
 const NAMES = ['d1', 'd2']
 const MEMBERS = NAMES.map(name => ({ instance: { name, failureDomain: 'z' }, state: 'alive', run: 1 })) as unknown as readonly Member[]
-const HUB = findDomainLeader(MEMBERS, 'z')!
-const ASKER = NAMES.find(name => name !== HUB)!
+const LEADER = findDomainLeader(MEMBERS, 'z')!
+const FOLLOWER = NAMES.find(name => name !== LEADER)!
 
 interface Pair {
   readonly clock: VirtualClock
   readonly records: JobRecords
   readonly pauses: PauseWatch
   /** How long the store takes to answer a look, and a message to come, ms. */
-  readonly delays: { look: number, message: number }
-  readonly find: (name: string) => ReturnType<EndedJobLookup['ask']>
+  readonly delays: { read: number, message: number }
+  readonly find: (name: string) => ReturnType<EndedJobLookup['find']>
 }
 
 /** A hub and a daemon that asks it, before a store that reads at once and answers late. */
 function createPair (): Pair {
   const clock = new VirtualClock()
   const store = new MemoryStore()
-  const delays = { look: 0, message: 1 }
+  const delays = { read: 0, message: 1 }
   const watch = store.watch.bind(store)
   store.watch = async <T>(kind: string, revision: number): Promise<Result<WatchBatch<T>, StoreError>> => {
     const seen = await watch<T>(kind, revision)
-    if (delays.look > 0) await new Promise<void>(resolve => clock.after(delays.look, resolve))
+    if (delays.read > 0) await new Promise<void>(resolve => clock.after(delays.read, resolve))
     return seen
   }
   const records = new JobRecords(store)
@@ -50,7 +50,7 @@
     handlers.set(name, lookup.extensions.map(({ value }) => value as PeerHandler))
     return [name, lookup]
   }))
-  return { clock, records, pauses, delays, find: async name => await lookups.get(name)!.ask([JOB]) }
+  return { clock, records, pauses, delays, find: async name => await lookups.get(name)!.find([JOB]) }
 }
 
 async function advanceUntil<T> (clock: VirtualClock, wanted: Promise<T>): Promise<T> {
@@ -63,45 +63,45 @@
 // Guards against a look that counts from when its answer came: an end stored since the store was read passes for "goes on".
 test('what a hub read before it was asked counts from that read', async t => {
   const { clock, records, find } = createPair()
-  await advanceUntil(clock, find(HUB))
+  await advanceUntil(clock, find(LEADER))
   const read = clock.now()
   await clock.advance(500)
   await records.end(JOB)
-  const found = (await advanceUntil(clock, find(ASKER))).unwrap()
+  const found = (await advanceUntil(clock, find(FOLLOWER))).unwrap()
   t.deepEqual(found.ended, [])
-  t.true(found.seen <= read, `a read of ${read} ms counts from ${found.seen} ms`)
+  t.true(found.readAt <= read, `a read of ${read} ms counts from ${found.readAt} ms`)
 })
 
 test('a look of the store counts from its begin, however late the answer', async t => {
   const { clock, records, delays, find } = createPair()
-  delays.look = 300
-  const looking = find(HUB)
+  delays.read = 300
+  const reading = find(LEADER)
   await clock.advance(100)
   await records.end(JOB)
-  const found = (await advanceUntil(clock, looking)).unwrap()
+  const found = (await advanceUntil(clock, reading)).unwrap()
   t.deepEqual(found.ended, [])
-  t.is(found.seen, 0)
-  t.is((await advanceUntil(clock, find(HUB))).unwrap().seen, 0, 'kept for the next')
+  t.is(found.readAt, 0)
+  t.is((await advanceUntil(clock, find(LEADER))).unwrap().readAt, 0, 'kept for the next')
 })
 
 test('what was read a second ago is read anew', async t => {
   const { clock, records, find } = createPair()
-  await advanceUntil(clock, find(HUB))
+  await advanceUntil(clock, find(LEADER))
   await records.end(JOB)
   await clock.advance(1_000)
-  t.deepEqual((await advanceUntil(clock, find(ASKER))).unwrap().ended, [JOB])
+  t.deepEqual((await advanceUntil(clock, find(FOLLOWER))).unwrap().ended, [JOB])
 })
 
 // Guards against an answer from before a pause of the process that is used after it.
 test('a look that a pause fell into is repeated, and one from before it answers nobody', async t => {
   const { clock, records, pauses, delays, find } = createPair()
-  delays.look = 100
-  const looking = find(HUB)
+  delays.read = 100
+  const reading = find(LEADER)
   await clock.advance(50)
   await records.end(JOB)
   clock.freeze(20_000)
   pauses.check()
-  t.deepEqual((await advanceUntil(clock, looking)).unwrap().ended, [JOB])
+  t.deepEqual((await advanceUntil(clock, reading)).unwrap().ended, [JOB])
 })
 
 // Guards against a steady clock that stood still with the machine, by which a kept read from before looks fresh.
@@ -111,9 +111,9 @@
   let missed = 0
   const suspended = { now: () => clock.now() - missed, date: () => clock.date(), after: clock.after.bind(clock), every: clock.every.bind(clock) }
   const lookup = new EndedJobLookup(records, { all: () => [] }, { send: () => {} }, new PauseWatch(suspended), { instance: 'd1', failureDomain: 'z' }, suspended)
-  t.deepEqual(await lookup.ask([JOB]), Ok({ ended: [], seen: 0 }))
+  t.deepEqual(await lookup.find([JOB]), Ok({ ended: [], readAt: 0 }))
   await records.end(JOB)
   clock.freeze(20_000)
   missed = 20_000
-  t.deepEqual((await lookup.ask([JOB])).unwrap().ended, [JOB])
+  t.deepEqual((await lookup.find([JOB])).unwrap().ended, [JOB])
 })
--- a/test/jobs/ended-job-watch-outage.test.ts
+++ b/test/jobs/ended-job-watch-outage.test.ts
@@ -28,7 +28,7 @@
   const transport = new MemoryTransport(clock)
   const store = new PlatformClient(transport, { clock, random: new Random(1), lastProbe: 600, callerTimeout: 250, fleetRates: { reads: 2_000, writes: 400 } })
   store.useFleet(() => daemons)
-  const job = new OwnedJob({ id: 'j', head: { host: 'h', path: '/', submittedAt: 0, total: 1, tokens: 1, owner: 'd', run: 1, parts: 1 }, items: [], segments: [], acceptedAt: 0, openAt: 0 })
+  const job = new OwnedJob({ id: 'j', header: { host: 'h', path: '/', submittedAt: 0, total: 1, tokens: 1, owner: 'd', run: 1, parts: 1 }, items: [], segments: [], acceptedAt: 0, readAt: 0 })
   const owner = { list: () => [job], end: () => { job.ended = true } } as unknown as JobOwner
   const pauses = new PauseWatch(clock)
   const lookup = new EndedJobLookup(new JobRecords(store), { all: () => [] } as unknown as Members, { send: () => {} } as unknown as PeerLinks, pauses, { instance: 'd', failureDomain: 'z' } as unknown as Settings, clock)
@@ -42,7 +42,7 @@
 }
 
 function isStale (job: OwnedJob, now: number): boolean {
-  return job.mayStart(now) && now - (job.look.seen ?? -Infinity) > BACK_WITHIN
+  return job.mayStart(now) && now - (job.lastRead.seen ?? -Infinity) > BACK_WITHIN
 }
 
 // Guards against an outage's licence that outlives the outage, because the look that would end it waits behind callers' reads.
--- a/test/jobs/ended-job-watch.test.ts
+++ b/test/jobs/ended-job-watch.test.ts
@@ -21,7 +21,7 @@
   return owner.find(`job of ${OWNER}`)!.mayStart(clock.now())
 }
 
-function failLooks (fleet: JobFleet, error: StoreError): void {
+function failReads (fleet: JobFleet, error: StoreError): void {
   fleet.store.fault = ({ call }) => call === 'watch' ? { fail: error } : 'none'
 }
 
@@ -38,7 +38,7 @@
 test('nothing starts once looks are refused for longer than the bound', async t => {
   const fleet = new JobFleet()
   await accept(fleet)
-  failLooks(fleet, { type: 'limited', retryAfter: 100 })
+  failReads(fleet, { type: 'limited', retryAfter: 100 })
   await fleet.time.advance(3_000)
   t.false(mayStart(fleet))
   fleet.store.fault = () => 'none'
@@ -50,7 +50,7 @@
 test('items start for a minute while the store does not answer', async t => {
   const fleet = new JobFleet()
   await accept(fleet)
-  failLooks(fleet, { type: 'unavailable', reason: 'outage' })
+  failReads(fleet, { type: 'unavailable', reason: 'outage' })
   await fleet.time.advance(OUTAGE_BOUND - 3_000)
   t.true(mayStart(fleet))
   await fleet.time.advance(6_000)
@@ -62,7 +62,7 @@
   test(`after a pause nothing starts before a new look (steady clock ${counted ? 'goes on' : 'stands'})`, async t => {
     const fleet = new JobFleet()
     await accept(fleet)
-    failLooks(fleet, { type: 'unavailable', reason: 'outage' })
+    failReads(fleet, { type: 'unavailable', reason: 'outage' })
     await fleet.pause(OWNER, 2_000, counted)
     await fleet.time.advance(2_300)
     t.false(mayStart(fleet))
@@ -78,7 +78,7 @@
   await accept(fleet)
   await fleet.time.advance(1_500)
   fleet.loses = (_from, _to, { type }) => type === 'job ends answer'
-  failLooks(fleet, { type: 'limited', retryAfter: 100 })
+  failReads(fleet, { type: 'limited', retryAfter: 100 })
   await fleet.time.advance(3_000)
   t.false(mayStart(fleet))
 })
@@ -100,8 +100,8 @@
   const fleet = new JobFleet()
   await accept(fleet, names)
   await fleet.time.advance(2_000)
-  const hub = findDomainLeader(names.map(name => ({ instance: { name, failureDomain: 'z' }, state: 'alive', run: 1 }) as unknown as Member), 'z')
-  fleet.loses = (from, to, { type }) => type.startsWith('job ends') && (from === hub || to === hub)
+  const leader = findDomainLeader(names.map(name => ({ instance: { name, failureDomain: 'z' }, state: 'alive', run: 1 }) as unknown as Member), 'z')
+  fleet.loses = (from, to, { type }) => type.startsWith('job ends') && (from === leader || to === leader)
   fleet.store.calls.length = 0
   await fleet.time.advance(20_000)
   const reads = fleet.store.calls.filter(({ call, kind }) => call === 'watch' && kind === ENDS).length
--- a/test/jobs/find-end.test.ts
+++ b/test/jobs/find-abandon-reason.test.ts
@@ -1,12 +1,12 @@
 import test from 'ava'
 import type { Route } from '../../src/config/route.js'
-import { findEnd } from '../../src/jobs/find-end.js'
+import { findAbandonReason } from '../../src/jobs/find-abandon-reason.js'
 
 const route: Route = { host: 'h', pathPrefix: '/', services: [], streamed: false, idempotent: false, resumable: false, attempts: 1, timeout: 0, target: 1, priority: 0, jobs: { dueAfter: 18_000, giveUpAfter: 60_000, maxWaitingTokens: 0 } }
 
 // The store is away and every daemon is killed. They start again, find the jobs in the store and have no configuration yet, or
 // an old one: their callers were told that each item of an open job had failed because its route had gone.
-const cases: ReadonlyArray<readonly [string, Parameters<typeof findEnd>[0], string | undefined]> = [
+const cases: ReadonlyArray<readonly [string, Parameters<typeof findAbandonReason>[0], string | undefined]> = [
   ['no configuration is known yet', { route: undefined, routeMissedAt: undefined, acceptedAt: 0, now: 20_000 }, undefined],
   ['the route is missing since a moment ago', { route: undefined, routeMissedAt: 16_000, acceptedAt: 0, now: 20_000 }, undefined],
   ['the route has gone', { route: undefined, routeMissedAt: 15_000, acceptedAt: 0, now: 20_000 }, 'its route has gone'],
@@ -16,5 +16,5 @@
 ]
 
 for (const [name, times, cause] of cases) {
-  test(name, t => { t.is(findEnd(times), cause) })
+  test(name, t => { t.is(findAbandonReason(times), cause) })
 }
--- a/test/jobs/job-checkpointer.test.ts
+++ b/test/jobs/job-checkpointer.test.ts
@@ -1,6 +1,6 @@
 import 'reflect-metadata'
 import test from 'ava'
-import { countUnnoted } from '../../src/jobs/count-unnoted.js'
+import { countUnsavedEvents } from '../../src/jobs/count-unsaved-events.js'
 import type { JobRegistry } from '../../src/jobs/job-registry.js'
 import type { JobItem } from '../../src/jobs/job-item.js'
 import { JobCheckpointer } from '../../src/jobs/job-checkpointer.js'
@@ -19,10 +19,10 @@
 
 async function createDaemon (name: string, store: MemoryStore, clock: VirtualClock): Promise<Daemon> {
   const members = { run: 1, all: () => [], owners: () => [name] } as unknown as Members
-  const book = { subscribe: () => {}, tell: () => {}, get: () => undefined } as unknown as JobRegistry
+  const registry = { subscribe: () => {}, publish: () => {}, get: () => undefined } as unknown as JobRegistry
   const runner = { subscribe: () => {}, add: () => {}, remove: () => {} } as unknown as JobRunner
   const records = new JobRecords(store)
-  const owner = new JobOwner(records, runner, book, members, { send: () => {} }, new PauseWatch(clock), { instance: name } as unknown as Settings, { write: () => {} }, clock)
+  const owner = new JobOwner(records, runner, registry, members, { send: () => {} }, new PauseWatch(clock), { instance: name } as unknown as Settings, { write: () => {} }, clock)
   await new JobCheckpointer(owner, records, { write: () => {} }, clock).start()
   const advance = (item: string, events: number): void => {
     const state = owner.find('j')!.items.find(other => other.item.id === item)!
@@ -67,17 +67,17 @@
   t.deepEqual((await new JobRecords(store).readProgress('j')).unwrap().map(({ id, last }) => [id, last]), [['a', 700]])
 })
 
-interface Case { readonly name: string, readonly last?: number, readonly phase: 'waiting' | 'ended', readonly noted: number, readonly unnoted: number }
+interface Case { readonly name: string, readonly last?: number, readonly phase: 'waiting' | 'ended', readonly saved: number, readonly unsaved: number }
 
 const cases: readonly Case[] = [
-  { name: 'an item that never ran', phase: 'waiting', noted: 0, unnoted: 0 },
-  { name: 'one that ran on behind its note', last: 90, phase: 'waiting', noted: 60, unnoted: 30 },
-  { name: 'one that ended', last: 90, phase: 'ended', noted: 0, unnoted: 0 },
-  { name: 'a note of another owner that came further', last: 10, phase: 'waiting', noted: 60, unnoted: 0 }
+  { name: 'an item that never ran', phase: 'waiting', saved: 0, unsaved: 0 },
+  { name: 'one that ran on behind its note', last: 90, phase: 'waiting', saved: 60, unsaved: 30 },
+  { name: 'one that ended', last: 90, phase: 'ended', saved: 0, unsaved: 0 },
+  { name: 'a note of another owner that came further', last: 10, phase: 'waiting', saved: 60, unsaved: 0 }
 ]
 
-for (const { name, last, phase, noted, unnoted } of cases) {
+for (const { name, last, phase, saved, unsaved } of cases) {
   test(`events that would be lost: ${name}`, t => {
-    t.is(countUnnoted([{ item: ITEMS[0]!, last, phase }], [{ id: 'a', last: noted, texts: [], failures: 0 }]), unnoted)
+    t.is(countUnsavedEvents([{ item: ITEMS[0]!, last, phase }], [{ id: 'a', last: saved, texts: [], failures: 0 }]), unsaved)
   })
 }
--- a/test/jobs/job-cleaner.test.ts
+++ b/test/jobs/job-cleaner.test.ts
@@ -28,5 +28,5 @@
   await cleaner.start()
   await fleet.time.advance(OPEN_FOR)
   t.true(fleet.daemons.get(owner)!.owner.find(JOB)?.isDone === false, 'its owner runs it')
-  t.true((await records.readHead(JOB)).ok, 'it is stored')
+  t.true((await records.readHeader(JOB)).ok, 'it is stored')
 })
--- a/test/jobs/job-ends.test.ts
+++ b/test/jobs/job-ends.test.ts
@@ -24,7 +24,7 @@
 async function end (fleet: JobFleet, name: string): Promise<void> {
   const { records, reader } = fleet.daemons.get(name)!
   await records.end('j')
-  void reader.tellEnd('j')
+  void reader.stopAtOwner('j')
 }
 
 // The owner of a job stands still and another daemon takes the job over. While that one reads the job, its caller ends it through a third,
--- a/test/jobs/job-owner.test.ts
+++ b/test/jobs/job-owner.test.ts
@@ -23,20 +23,20 @@
 /** One daemon's owner of jobs, with a runner that runs nothing: a test says which items end. */
 class Daemon {
   readonly owner: JobOwner
-  readonly told: KnownJob[] = []
+  readonly published: KnownJob[] = []
   readonly sent: Array<{ readonly to: string, readonly message: PeerMessage }> = []
   private onResult: (job: OwnedJob) => void = () => {}
 
   constructor (name: string, store: MemoryStore, clock: VirtualClock, members: { alive: string[] }) {
     const runner = { subscribe: (listener: (job: OwnedJob) => void) => { this.onResult = listener }, add: () => {}, remove: () => {} }
     const known = new Map<string, KnownJob>()
-    const book = { subscribe: () => {}, get: (id: string) => known.get(id), tell: (job: KnownJob) => { known.set(job.id, job); this.told.push(job) }, tellSeen: () => {}, learn: (job: KnownJob) => { if (!known.has(job.id)) known.set(job.id, job) }, list: () => [...known.values()] }
+    const registry = { subscribe: () => {}, get: (id: string) => known.get(id), publish: (job: KnownJob) => { known.set(job.id, job); this.published.push(job) }, publishSeen: () => {}, addIfAbsent: (job: KnownJob) => { if (!known.has(job.id)) known.set(job.id, job) }, list: () => [...known.values()] }
     const all = { run: 1, all: () => members.alive.map(instance => ({ instance: { name: instance }, state: 'alive', run: 1 })), owners: () => members.alive }
     const settings = { instance: name } as unknown as Settings
     const records = new JobRecords(store)
-    this.owner = new JobOwner(records, runner as unknown as JobRunner, book as unknown as JobRegistry, all as unknown as Members, { send: (to, message) => this.sent.push({ to, message }) }, new PauseWatch(clock), settings, { write: () => {} }, clock)
+    this.owner = new JobOwner(records, runner as unknown as JobRunner, registry as unknown as JobRegistry, all as unknown as Members, { send: (to, message) => this.sent.push({ to, message }) }, new PauseWatch(clock), settings, { write: () => {} }, clock)
     void this.owner.start()
-    void new JobAdoption(this.owner, book as unknown as JobRegistry, records, all as unknown as Members, settings, clock).start()
+    void new JobAdoption(this.owner, registry as unknown as JobRegistry, records, all as unknown as Members, settings, clock).start()
   }
 
   /** An item has ended here, with a text that says where. */
@@ -57,8 +57,8 @@
   const [store, clock] = [new MemoryStore(), new VirtualClock()]
   const daemon = new Daemon('d1', store, clock, { alive: ['d1'] })
   t.true((await daemon.owner.accept('j', { host: 'h', path: '/jobs/' }, ITEMS)).ok)
-  const head = (await new JobRecords(store).readHead('j')).unwrap()
-  t.deepEqual((await new JobRecords(store).readItems('j', head)).unwrap(), ITEMS)
+  const header = (await new JobRecords(store).readHeader('j')).unwrap()
+  t.deepEqual((await new JobRecords(store).readItems('j', header)).unwrap(), ITEMS)
   t.is((await daemon.owner.accept('j', { host: 'h', path: '/jobs/' }, ITEMS)).val?.type, 'conflict')
 })
 
@@ -79,7 +79,7 @@
   for (const id of ['b', 'd', 'e', 'f']) second.finish('j', id, 'by d2')
   await clock.advance(2_000)
   t.true(job.isDone)
-  t.is(second.told.at(-1)?.closed, true)
+  t.is(second.published.at(-1)?.closed, true)
 })
 
 test('a job whose results are all stored is taken over without its items', async t => {
@@ -93,8 +93,8 @@
   await clock.advance(1_000)
   t.is(second.owner.find('j')?.readPage(0).results.length, ITEMS.length)
   t.is(second.owner.find('j')?.items.length, 0)
-  t.is(second.told.at(-1)?.closed, true)
-  t.is(second.told.at(-1)?.tokensLeft, 0)
+  t.is(second.published.at(-1)?.closed, true)
+  t.is(second.published.at(-1)?.tokensLeft, 0)
 })
 
 test('a job that was ended is not run by whoever takes it over', async t => {
@@ -105,7 +105,7 @@
   const second = new Daemon('d2', store, clock, members)
   await clock.advance(1_000)
   t.is(second.owner.find('j')?.ended, true)
-  t.is(second.told.at(-1)?.closed, true)
+  t.is(second.published.at(-1)?.closed, true)
 })
 
 // Two daemons run one job, each believing that the other has ended. Writes of results are lost before or after they took
@@ -160,7 +160,7 @@
   await daemon.owner.drain()
   t.true((await daemon.owner.accept('j', { host: 'h', path: '/jobs/' }, ITEMS)).ok)
   t.is(daemon.owner.find('j'), undefined)
-  t.like(daemon.told.at(-1), { id: 'j', owner: '', tokensLeft: 60, closed: false })
+  t.like(daemon.published.at(-1), { id: 'j', owner: '', tokensLeft: 60, closed: false })
 })
 
 // A daemon accepts a job and loses power before its word of it is out. Nobody else has heard of the job.
--- a/test/jobs/job-reader.test.ts
+++ b/test/jobs/job-reader.test.ts
@@ -9,16 +9,16 @@
 import type { PeerLinks } from '../../src/peers/peer-links.js'
 import { VirtualClock } from '../helpers/virtual-clock.js'
 
-const HEAD = { host: 'h', path: '/p/', submittedAt: 0, total: 1, tokens: 1, owner: 'd0', run: 1, parts: 1 }
+const HEADER = { host: 'h', path: '/p/', submittedAt: 0, total: 1, tokens: 1, owner: 'd0', run: 1, parts: 1 }
 
 /** A daemon that is asked to see to a job whose stored owner is `owner`; the store answers after `failures` reads. */
-async function tellCare (owner: string, failures: number): Promise<{ readonly adopted: number, readonly asked: readonly string[] }> {
+async function ensureRunning (owner: string, failures: number): Promise<{ readonly adopted: number, readonly asked: readonly string[] }> {
   const clock = new VirtualClock()
   const asked: string[] = []
   let adopted = 0
   let reads = 0
   const known = new Map<string, KnownJob>()
-  const records = { readHead: async () => reads++ < failures ? Err({ type: 'limited' }) : Ok({ ...HEAD, owner }) }
+  const records = { readHeader: async () => reads++ < failures ? Err({ type: 'limited' }) : Ok({ ...HEADER, owner }) }
   const jobOwner = {
     find: () => adopted > 0 ? {} : undefined,
     isOwnerAlive: () => true,
@@ -27,10 +27,10 @@
       return Ok(undefined)
     }
   }
-  const book = { get: (id: string) => known.get(id), learn: (job: KnownJob) => { known.set(job.id, job) } }
-  const reader: JobReader = new JobReader(jobOwner as unknown as JobOwner, book as unknown as JobRegistry, records as unknown as JobRecords,
+  const registry = { get: (id: string) => known.get(id), addIfAbsent: (job: KnownJob) => { known.set(job.id, job) } }
+  const reader: JobReader = new JobReader(jobOwner as unknown as JobOwner, registry as unknown as JobRegistry, records as unknown as JobRecords,
     { send: (to: string) => asked.push(to) } as unknown as PeerLinks, { instance: 'd0' }, { write: () => {} }, clock)
-  void reader.tellCare('job')
+  void reader.ensureRunning('job')
   await clock.advance(5_000)
   return { adopted, asked }
 }
@@ -47,7 +47,7 @@
 // finds the job stored and confirms it. From then on somebody must run it, though its owner lives and knows of nothing.
 for (const { name, owner, failures, adopted, asked } of cases) {
   test(`a job that is found stored is run: ${name}`, async t => {
-    const seen = await tellCare(owner, failures)
+    const seen = await ensureRunning(owner, failures)
     t.is(seen.adopted > 0, adopted)
     t.is(seen.asked.length > 1, asked)
   })
--- a/test/jobs/job-book-news.test.ts
+++ b/test/jobs/job-registry-updates.test.ts
@@ -11,7 +11,7 @@
 const SETTLED = 1_000
 
 function countWaiting (fleet: JobFleet, name: string): number {
-  return fleet.daemons.get(name)!.book.countWaiting(() => true)
+  return fleet.daemons.get(name)!.book.countWaitingTokens(() => true)
 }
 
 async function accept (fleet: JobFleet): Promise<void> {
@@ -57,7 +57,7 @@
     if (how === 'done') await finish(fleet)
     else {
       await fleet.daemons.get(OWNER)!.records.end(JOB)
-      await fleet.daemons.get(OWNER)!.reader.tellEnd(JOB)
+      await fleet.daemons.get(OWNER)!.reader.stopAtOwner(JOB)
       await fleet.time.advance(3_000)
     }
     t.is(countWaiting(fleet, OTHER), 0)
--- a/test/jobs/job-runner.test.ts
+++ b/test/jobs/job-runner.test.ts
@@ -3,7 +3,7 @@
 import { Err, type Result } from 'ts-results'
 import type { Configuration } from '../../src/config/configuration.js'
 import type { ConfigurationHolder } from '../../src/config/configuration-holder.js'
-import { ItemPace } from '../../src/jobs/item-pace.js'
+import { ItemDurationEstimator } from '../../src/jobs/item-duration-estimator.js'
 import type { JobItem } from '../../src/jobs/job-item.js'
 import { JobRunner } from '../../src/jobs/job-runner.js'
 import { OwnedJob } from '../../src/jobs/owned-job.js'
@@ -51,10 +51,10 @@
     { subscribe: (listener: typeof listeners[number]) => listeners.push(listener), askBatch: () => { asked++ } } as unknown as SlotClient,
     { send } as unknown as Sender,
     { find: () => ({ name: SERVER, url: '' }) } as unknown as Servers,
-    configuration, new ItemPace(), new PauseWatch(clock), new Metrics(), { buildHeaders: () => ({}) } as unknown as ServerDialect, { write: () => {} }, clock, new Random(1))
+    configuration, new ItemDurationEstimator(), new PauseWatch(clock), new Metrics(), { buildHeaders: () => ({}) } as unknown as ServerDialect, { write: () => {} }, clock, new Random(1))
   await runner.start()
-  const head = { host: 'h', path: '/jobs/', submittedAt: 0, total: 1, tokens: 10, owner: 'd', run: 1, parts: 1 }
-  const job = new OwnedJob({ id: 'j', head, items: [ITEM], segments: [], acceptedAt: 0, openAt: 0 })
+  const header = { host: 'h', path: '/jobs/', submittedAt: 0, total: 1, tokens: 10, owner: 'd', run: 1, parts: 1 }
+  const job = new OwnedJob({ id: 'j', header, items: [ITEM], segments: [], acceptedAt: 0, readAt: 0 })
   runner.add(job)
   return { clock, job, begun, sent, countAsked: () => asked, grant: () => listeners[0]!.onGrant(POOL, SERVER) }
 }
@@ -72,7 +72,7 @@
   for (let ms = 0; ms < STALE; ms += 1_000) await clock.advance(1_000)
   grant()
   t.is(sent.length, 0)
-  job.look = { seen: clock.now(), unreachable: false }
+  job.lastRead = { seen: clock.now(), unreachable: false }
   grant()
   t.is(sent.length, 1)
 })
@@ -86,7 +86,7 @@
   t.is(sent.length, 1)
   await clock.advance(CONNECTING)
   t.deepEqual(begun, [])
-  job.look = { seen: clock.now(), unreachable: false }
+  job.lastRead = { seen: clock.now(), unreachable: false }
   await clock.advance(500)
   grant()
   await clock.advance(CONNECTING)
@@ -103,7 +103,7 @@
   const asked = countAsked()
   await clock.advance(2_000)
   t.is(countAsked(), asked)
-  job.look = { seen: clock.now(), unreachable: false }
+  job.lastRead = { seen: clock.now(), unreachable: false }
   await clock.advance(1_000)
   t.true(countAsked() > asked)
 })
--- a/test/jobs/refused-jobs.test.ts
+++ b/test/jobs/refused-jobs.test.ts
@@ -5,7 +5,7 @@
 import type { JobItem } from '../../src/jobs/job-item.js'
 import { MemoryStore } from '../../stand-ins/platform/memory-store.js'
 
-const HEAD = { host: 'h', path: '/p/', submittedAt: 0, total: 2, tokens: 2, owner: 'd1', run: 1 }
+const HEADER = { host: 'h', path: '/p/', submittedAt: 0, total: 2, tokens: 2, owner: 'd1', run: 1 }
 /** Each fills an object of its own. */
 const ITEMS: readonly JobItem[] = ['a', 'b'].map(id => ({ id, path: '/p/x', headers: {}, body: 'e'.repeat(600_000), tokens: 1 }))
 /** Errors that say that nothing was written. */
@@ -27,7 +27,7 @@
       case 'later': return { landLater: { type: 'unknown', reason: 'late' } }
     }
   }
-  const created = await new JobRecords(store).create('j', HEAD, ITEMS)
+  const created = await new JobRecords(store).create('j', HEADER, ITEMS)
   store.fault = () => 'none'
   return created.ok ? 'accepted' : created.val.type
 }
@@ -35,8 +35,8 @@
 async function isWhole (store: MemoryStore): Promise<boolean> {
   store.runDelayed()
   const records = new JobRecords(store)
-  const head = await records.readHead('j')
-  return head.ok && (await records.readItems('j', head.val)).ok
+  const header = await records.readHeader('j')
+  return header.ok && (await records.readItems('j', header.val)).ok
 }
 
 // The store comes back from an outage and takes few writes a second. A job is submitted again and again: the first time its items are
--- a/test/jobs/end-reaches-owner.test.ts
+++ b/test/jobs/stop-reaches-owner.test.ts
@@ -28,7 +28,7 @@
 async function end (fleet: JobFleet, name: string): Promise<void> {
   const { records, reader } = fleet.daemons.get(name)!
   await records.end(JOB)
-  void reader.tellEnd(JOB)
+  void reader.stopAtOwner(JOB)
 }
 
 // Guards against an owner that runs on because the daemon that acknowledged the end had never heard of the job.
--- a/test/jobs/two-owners.test.ts
+++ b/test/jobs/two-owners.test.ts
@@ -20,12 +20,12 @@
   await all[0]!.owner.accept('j', { host: 'h', path: '/jobs/' }, ITEMS)
   await fleet.time.advance(10)
   const seen: string[] = []
-  const wokenAt = new Map<string, number>()
+  const resumedAt = new Map<string, number>()
   const readAll = (): void => {
     for (const { name, clock, reader } of all) {
-      if (clock.isPaused) wokenAt.set(name, Infinity)
-      else if (wokenAt.get(name) === Infinity) wokenAt.set(name, fleet.time.now())
-      if (clock.isPaused || fleet.time.now() < (wokenAt.get(name) ?? 0) + SETTLE) continue
+      if (clock.isPaused) resumedAt.set(name, Infinity)
+      else if (resumedAt.get(name) === Infinity) resumedAt.set(name, fleet.time.now())
+      if (clock.isPaused || fleet.time.now() < (resumedAt.get(name) ?? 0) + SETTLE) continue
       const expected = seen.length
       void reader.readResults('j', 0, 0).then(page => {
         if (page.err || clock.isPaused) return
