--- a/src/entry/address-lookup.ts
+++ b/src/entry/address-lookup.ts
@@ -20,7 +20,7 @@
 const NOT_FOUND = 404
 const NOT_READY = 503
 
-/** Tells callers which daemons to use, the platform whether this one is ready, and engineers its metrics. */
+/** Serves the lookup of entry addresses for callers, the readiness probe of the platform, and the metrics. */
 @scoped(Lifecycle.ContainerScoped)
 export class AddressLookup implements Part {
   private readonly servers: Server[] = []
@@ -46,7 +46,7 @@
     this.updateReady()
   }
 
-  /** Not ready from here on, while requests are served to the end. */
+  /** Reports this daemon as not ready from here on; requests in progress continue. */
   async drain (): Promise<void> {
     this.leaving = true
   }
@@ -87,7 +87,7 @@
     sendJson(res, 200, this.dialect.showAddresses(open, this.settings.addressKeep))
   }
 
-  /** A member that has spoken itself, is ready and doesn't leave. */
+  /** Whether callers may use the member: it has sent a message itself, is ready and isn't leaving. */
   private isOpen ({ instance, state, ready, run }: Member): boolean {
     if (instance.name === this.own.instance) return this.isReady
     return run > 0 && ready && state === 'alive' && instance.port > 0
--- a/src/entry/addresses.ts
+++ b/src/entry/addresses.ts
@@ -12,10 +12,10 @@
 import { chooseAddresses } from './choose-addresses.js'
 import { routePoint } from './route-point.js'
 
-/** For the way of an answer to its caller, who keeps it from when it comes, ms. */
+/** Added to the lifetime of an address answer, ms: callers count from its arrival. */
 const NETWORK_DELAY = 250
 
-/** Tells callers which entry addresses to use, and for how long they may keep the answer. */
+/** Serves the entry addresses that callers should use, with the time for which they may cache the answer. */
 @scoped(Lifecycle.ContainerScoped)
 export class Addresses implements Part {
   readonly extensions = [routePoint.of({
@@ -29,7 +29,7 @@
     }
   })]
 
-  /** The longest time that any answer since this daemon was first ready may be kept, ms. */
+  /** The longest cache time of any configuration so far, ms. */
   private longestKeep = 0
 
   constructor (
@@ -43,8 +43,8 @@
   }
 
   /**
-   * Takes this daemon out of the answers of all, then waits until every kept answer that may name it has run out. It
-   * has to go on serving until then: callers still come by those.
+   * Removes this daemon from the answers of all daemons, then waits until every cached answer that may name it has expired. The daemon must
+   * serve requests until then, since callers still use those answers.
    */
   async leave (): Promise<void> {
     await this.members.leave()
--- a/src/entry/authenticate.ts
+++ b/src/entry/authenticate.ts
@@ -5,7 +5,7 @@
 const BEARER = /^Bearer (\S+)$/i
 const byConfiguration = new WeakMap<Configuration, Map<string, string>>()
 
-/** The caller whose bearer token the request carries, if any. */
+/** Returns the caller that the request's bearer token belongs to; undefined where there is none. */
 export function authenticate (req: IncomingMessage, configuration: Configuration): string | undefined {
   const token = BEARER.exec(req.headers.authorization ?? '')?.[1]
   if (token === undefined) return undefined
--- a/src/entry/caller-connections.ts
+++ b/src/entry/caller-connections.ts
@@ -4,12 +4,12 @@
 import { pauseFor } from '../kernel/pause-for.js'
 import { ConnectionTable } from './connection-table.js'
 
-/** How long callers are told that an idle connection stays usable, s. */
+/** Keep-alive timeout announced to callers, s. */
 const KEEP_ALIVE = 5
 const KEEP_ALIVE_SLACK = 1_000
 const CLOSE_PERIOD = 50
 const MS_PER_SECOND = 1_000
-/** Connections of one caller address; more would let one of them use up what is there for all. */
+/** Maximum connections of one caller address, so that a single caller can't exhaust the daemon's connections. */
 const MAX_PER_ADDRESS = 1_000
 
 const TOO_MANY = [
@@ -18,19 +18,18 @@
 ].join('\r\n').replace('\r\n{', '\r\n\r\n{')
 
 interface ConnectionOptions {
-  /** How long callers are told that an idle connection stays usable, s. */
+  /** Keep-alive timeout announced to callers, s. */
   readonly keepAlive?: number
-  /** While closing: how long a connection must have been idle, ms; past what callers were told where it is left out. */
+  /** While closing: how long a connection must have been idle, ms. Defaults to a little more than the announced timeout. */
   readonly closeIdleAfter?: number
 }
 
 /**
- * The callers' connections of one HTTP server, and their end without a race.
+ * Tracks the callers' connections of one HTTP server and closes them gracefully.
  *
- * Safeguard: closing an idle keep-alive connection races with the request that its caller may just be sending on it;
- * that one is cut with nothing answered, and a caller can't tell whether it ran. So while closing, answers carry
- * `Connection: close`, and an idle connection is closed only once it has been idle for longer than its caller was told
- * (`Keep-Alive: timeout=5`) that it could be used.
+ * Closing an idle keep-alive connection races with a request that its caller may be sending: the request is cut without a response, and the
+ * caller can't tell whether it ran. So while closing, responses carry `Connection: close`, and an idle connection is closed only once it has
+ * been idle for longer than the announced `Keep-Alive: timeout=5`.
  */
 export class CallerConnections {
   private readonly table = new ConnectionTable<Socket>()
@@ -44,7 +43,7 @@
     return this.table.size
   }
 
-  /** Counts an exchange and sets its connection headers. False for one on a refused connection, to be dropped. */
+  /** Counts an exchange and sets its connection headers. Returns false on a refused connection, which is to be destroyed. */
   begin (req: IncomingMessage, res: ServerResponse): boolean {
     const { socket } = req
     if (!this.table.begin(socket)) return false
@@ -54,15 +53,15 @@
     return true
   }
 
-  /** From here on each answer ends its connection. */
+  /** Makes each further response close its connection. */
   startClosing (): void {
     this.closing = true
   }
 
-  /** Stops accepting; resolves once every exchange has ended and every connection is closed. */
+  /** Stops accepting connections; resolves once every exchange has ended and every connection is closed. */
   async close (): Promise<void> {
     this.startClosing()
-    // The close of an HTTP server would end idle connections at once, which is the race; the one below it does not.
+    // `close` of an HTTP server closes idle connections at once, which is the race above; that of its base class doesn't.
     NetServer.prototype.close.call(this.server)
     while (this.table.size > 0) {
       for (const socket of this.table.listIdle(this.clock.now(), this.options.closeIdleAfter ?? KEEP_ALIVE * MS_PER_SECOND + KEEP_ALIVE_SLACK)) socket.destroy()
--- a/src/entry/choose-addresses.ts
+++ b/src/entry/choose-addresses.ts
@@ -4,8 +4,8 @@
 const MAX_ADDRESSES = 3
 
 /**
- * The daemons that a caller should use: at most three, each of another failure domain while there are such, another
- * choice for another caller, so that callers spread over all. One that leaves, is suspect or not ready isn't named.
+ * Chooses at most three daemons for a caller, from distinct failure domains where possible. The choice depends on the caller, which spreads
+ * callers over all daemons. Members that are leaving, suspect or not ready are left out.
  */
 export function chooseAddresses (members: readonly Member[], caller: string): readonly Member[] {
   const open = new Map(members.filter(({ state, ready }) => state === 'alive' && ready).map(member => [member.instance.name, member]))
--- a/src/entry/connection-table.ts
+++ b/src/entry/connection-table.ts
@@ -1,7 +1,7 @@
 interface Connection { readonly address: string, open: number, idleSince: number }
 
 /**
- * The open connections of callers: how many each address has, what is under way on each, and since when it is idle.
+ * The open connections of callers, with the number of each address, the open exchanges on each connection and since when it has been idle.
  * Times in monotonic ms.
  */
 export class ConnectionTable<Key> {
@@ -12,7 +12,7 @@
     return this.connections.size
   }
 
-  /** Connections that `address` has open. */
+  /** Returns the number of open connections of `address`. */
   count (address: string): number {
     return this.byAddress.get(address) ?? 0
   }
@@ -31,7 +31,7 @@
     else this.byAddress.set(connection.address, left)
   }
 
-  /** An exchange begins on the connection; false where there is none such. */
+  /** Counts an exchange that begins on the connection; returns false where the connection is unknown. */
   begin (key: Key): boolean {
     const connection = this.connections.get(key)
     if (connection !== undefined) connection.open++
@@ -45,7 +45,7 @@
     connection.idleSince = now
   }
 
-  /** Connections without an exchange for `time` ms or longer. */
+  /** Lists the connections without an open exchange for at least `time` ms. */
   listIdle (now: number, time: number): readonly Key[] {
     return [...this.connections].filter(([, { open, idleSince }]) => open === 0 && now - idleSince >= time).map(([key]) => key)
   }
--- a/src/entry/drop-connection-headers.ts
+++ b/src/entry/drop-connection-headers.ts
@@ -1,9 +1,9 @@
-/** Headers that concern one connection only. Source: RFC 9110, section 7.6.1. */
+/** Hop-by-hop headers (RFC 9110, section 7.6.1). */
 const CONNECTION_HEADERS = ['connection', 'keep-alive', 'proxy-connection', 'te', 'trailer', 'transfer-encoding', 'upgrade']
 
 type Headers = Readonly<Record<string, string | string[] | undefined>>
 
-/** The headers that may be passed on: without those of the connection and those that its `Connection` header names. */
+/** Returns the headers to be forwarded: without hop-by-hop headers and those that the `Connection` header names. */
 export function dropConnectionHeaders (headers: Headers): Record<string, string | string[]> {
   const named = String(headers.connection ?? '').toLowerCase().split(',').map(name => name.trim())
   const kept: Record<string, string | string[]> = {}
--- a/src/entry/entry-dialect.ts
+++ b/src/entry/entry-dialect.ts
@@ -3,31 +3,31 @@
 import type { JobItem } from '../jobs/job-item.js'
 import type { ResultsPage } from '../jobs/results-page.js'
 
-/** What the door reads of the head of a caller's request. */
+/** What the entry reads from the request line and headers of a caller's request. */
 interface RequestHead {
   readonly id: string
   readonly host: string
-  /** Without its query. */
+  /** Without the query. */
   readonly path: string
-  /** ms that the caller will wait; undefined where it doesn't say. */
+  /** How long the caller will wait, ms; undefined where the request doesn't tell. */
   readonly left: number | undefined
   readonly resumeAfter: string | undefined
   readonly key: string | undefined
-  /** To be passed on to the server. */
+  /** Headers to be forwarded to the server. */
   readonly headers: Readonly<Record<string, string | readonly string[]>>
 }
 
-/** How callers and the platform speak to this fleet's daemons. */
+/** Decodes and encodes the HTTP requests of callers and of the platform to this fleet's daemons. */
 export interface EntryDialect {
   readHead (req: IncomingMessage): RequestHead
-  /** A call about jobs that goes to a path of its own; undefined for any other request. */
+  /** Reads a request about a submitted job; undefined for any other request. */
   readJobCall (req: IncomingMessage): JobCall | undefined
-  /** The items of a submitted job; undefined where the body holds none. */
+  /** Reads the items of a submitted job; undefined where the body is invalid. */
   readItems (body: Buffer): readonly JobItem[] | undefined
   showResults (page: ResultsPage): unknown
   isReadinessProbe (req: IncomingMessage): boolean
-  /** The failure domain of a caller that asks for addresses; undefined for any other request. */
+  /** Reads the caller's failure domain from a request for entry addresses; undefined for any other request. */
   readAddressRequest (req: IncomingMessage): { readonly failureDomain: string } | undefined
-  /** The answer to that question; `keep` in ms. */
+  /** Builds the response to a request for entry addresses; `keep` is the cache time in ms. */
   showAddresses (addresses: readonly string[], keep: number): unknown
 }
--- a/src/entry/entry-server.ts
+++ b/src/entry/entry-server.ts
@@ -24,11 +24,11 @@
 
 const HEADERS_TIMEOUT = 10_000
 const TIMEOUT_CHECK = 1_000
-/** Above what callers are told (5 s), so that it is theirs to close an idle connection first. */
+/** Above the announced timeout of 5 s, so that callers close idle connections first. */
 const KEEP_ALIVE_TIMEOUT = 15_000
 const NOT_READY_RETRY = 1_000
 
-/** The HTTP interface for callers and operators: the routes that the parts contribute, each behind its check. */
+/** The HTTP interface for callers and operators: serves the routes that parts register, each behind its access check. */
 @scoped(Lifecycle.ContainerScoped)
 export class EntryServer implements Part {
   /** The port in use, once started. */
@@ -58,19 +58,19 @@
     for (const route of this.added.collect(routePoint)) this.addRoute(route)
     this.app.noMatchHandler = (_req, res) => sendProblem(res, { status: 404, code: 'no-such-path', detail: 'there is nothing at this path' })
     this.port = await listen(this.server, this.settings.listen.host, this.settings.listen.port)
-    this.log.write('info', 'entry', 'listens', { port: this.port })
+    this.log.write('info', 'entry', 'listening', { port: this.port })
     this.members.update({ port: this.port })
     void this.configuration.waitForFirst().then(() => this.members.update({ ready: true }))
   }
 
   /**
-   * Leaves the addresses, serves on until no kept answer names this daemon, then ends each connection with its last
-   * answer. Whatever other parts do meanwhile, routes go on being served.
+   * Removes this daemon from the entry addresses, serves until no cached answer names it, then closes each connection after its last response.
+   * Routes are served during all of this, whatever other parts drain meanwhile.
    */
   async drain (): Promise<void> {
-    this.log.write('info', 'entry', 'leaves')
+    this.log.write('info', 'entry', 'leaving the entry addresses')
     await this.addresses.leave()
-    this.log.write('info', 'entry', 'closes', { connections: this.connections.size })
+    this.log.write('info', 'entry', 'closing connections', { connections: this.connections.size })
     await this.connections.close()
   }
 
--- a/src/entry/handle-client-error.ts
+++ b/src/entry/handle-client-error.ts
@@ -3,7 +3,7 @@
 
 interface ClientProblem { readonly status: number, readonly code: string, readonly detail: string }
 
-/** Answers what the HTTP parser refuses with a problem document that names the part of the request, then closes. */
+/** Answers a request that the HTTP parser rejects with a problem document that names the faulty part, then closes the connection. */
 export function handleClientError (error: NodeJS.ErrnoException, socket: Socket): void {
   if (error.code === 'ECONNRESET' || !socket.writable) {
     socket.destroy()
--- a/src/entry/is-operator.ts
+++ b/src/entry/is-operator.ts
@@ -1,7 +1,7 @@
 import { createHash, timingSafeEqual } from 'node:crypto'
 import type { IncomingMessage } from 'node:http'
 
-/** Whether the request carries the operators' token; the comparison takes the same time wherever they differ. */
+/** Whether the request carries the operators' token, compared in constant time. */
 export function isOperator (req: IncomingMessage, token: string): boolean {
   return timingSafeEqual(hash(req.headers.authorization ?? ''), hash(`Bearer ${token}`))
 }
--- a/src/entry/keyed-claims.ts
+++ b/src/entry/keyed-claims.ts
@@ -15,24 +15,24 @@
 const RETRY_PERIOD = 1_000
 const MAX_UNSETTLED = 1_000
 const STOP_TIMEOUT = 5_000
-/** How long after its call a write can still take effect, ms. */
+/** How long after its call a write may still take effect, ms. */
 const LATE_WRITE_TIME = 10_000
 
-/** What a claim ends as; `release`: nothing was sent, and the key is free again. */
+/** The final outcome of a claim; `release` frees the key because nothing was sent. */
 type Settlement = Exclude<KeyedClaim['outcome'], { readonly type: 'open' }> | 'release'
 
-/** A claim that this process created, and the version at which it was seen to stand. */
+/** A claim that this process created, with the version at which it is stored. */
 interface StoredClaim { readonly name: string, readonly claim: KeyedClaim, readonly version: number }
 
 /**
- * What is still to be recorded. A claim of version 0 was never seen to stand, and may come to stand until `expected`,
- * in monotonic ms, because a slow write took effect late.
+ * A claim whose outcome is still to be recorded. At version 0 the claim was never read back; a delayed write may still create it until
+ * `mayAppearUntil`, monotonic ms.
  */
 interface Unsettled extends StoredClaim { readonly settlement: Settlement, readonly mayAppearUntil?: number }
 
 /**
- * The claims of keyed requests at the platform. A claim is created once and changed only under its id; what can't be
- * recorded now, because the platform is down, is tried again until it is.
+ * Stores the claims of keyed requests at the platform. A claim is created once and changed only under its id. Outcomes that can't be recorded
+ * during a platform outage are retried.
  */
 @scoped(Lifecycle.ContainerScoped)
 export class KeyedClaims implements Part {
@@ -52,7 +52,7 @@
   }
 
   /**
-   * Waits for what is still to be recorded, at most 5 s: claims left open then end as unknown. Not in `drain`, because
+   * Waits up to 5 s for the outcomes still to be recorded; claims left open after that end as unknown. This can't be part of `drain`, because
    * requests still end while the parts drain.
    */
   async stop (): Promise<void> {
@@ -69,13 +69,11 @@
   }
 
   /**
-   * Creates a claim, or replaces the one at `version`. When the reply is lost, reading back tells by the claim's id
-   * whether it was created. An error means that the request must not be sent; a claim that came to stand all the
-   * same, because a slow write took effect late, is released in the background.
+   * Creates a claim, or replaces the one at `version`. When the reply is lost, the claim's id tells on reading it back whether it was created.
+   * After an error the request must not be sent; if a delayed write creates the claim after all, it is released in the background.
    *
-   * A lost write that met another's claim is a `conflict`, although the store can't tell whether ours stood before it:
-   * what stands now isn't ours, so that nothing is sent, and the caller gets the other claim's outcome. Without this a
-   * key that was answered long ago was refused whenever the reply to the second claim was lost.
+   * A lost write that finds another daemon's claim is a `conflict`, even though the store can't tell whether this one existed before: nothing
+   * is sent, and the caller gets the outcome of the other claim.
    */
   async create (name: string, claim: KeyedClaim, version: number): Promise<Result<StoredClaim, StoreError>> {
     const written = await this.store.put(KIND, name, claim, version, 'caller')
@@ -83,7 +81,7 @@
     if (written.val.type === 'unknown' || written.val.type === 'unavailable') {
       const read = await this.read(name)
       if (read.ok && read.val.value.id === claim.id) return Ok({ name, claim, version: read.val.version })
-      // Another claim stands at a version that ours wasn't based on: ours can't come to stand any more.
+      // Another claim is stored at a version that this write wasn't based on, so it can no longer take effect.
       if (read.ok && read.val.version !== version) return Err({ type: 'conflict', version: read.val.version })
       this.addUnsettled({ name, claim, version: 0, settlement: 'release', mayAppearUntil: this.clock.now() + LATE_WRITE_TIME })
       if (read.ok) return Err({ type: 'conflict', version: read.val.version })
@@ -92,8 +90,8 @@
   }
 
   /**
-   * Records how it ended, or releases it because nothing was sent; now or, if the platform is down, later. True only
-   * once that is on record, or the claim has been seen to be no longer this one.
+   * Records the outcome of a claim or releases it, now or, if the platform is down, later. Returns true only once that is recorded or another
+   * claim has replaced this one.
    */
   async settle (claim: StoredClaim, settlement: Settlement): Promise<boolean> {
     const settled = await this.settleNow({ ...claim, settlement })
@@ -101,7 +99,7 @@
     return settled
   }
 
-  /** Ends a claim whose holder is gone as unknown, unless it changed meanwhile. */
+  /** Ends a claim whose holder has ended as unknown, unless it has changed meanwhile. Returns whether it did. */
   async endAsUnknown ({ name, version, value }: StoredObject<KeyedClaim>): Promise<boolean> {
     const ended = await this.store.put(KIND, name, { ...value, outcome: { type: 'unknown', cause: 'the daemon that sent it is gone' } }, version, 'caller')
     return ended.ok
@@ -117,7 +115,7 @@
     this.unsettled = this.unsettled.filter(entry => !settled.flat().includes(entry))
   }
 
-  /** Whether no more is to be done. Where the claim is known to stand, no read is needed unless somebody changed it. */
+  /** Returns whether the claim is settled. A claim known to be stored is read only if another write has changed it. */
   private async settleNow (entry: Unsettled): Promise<boolean> {
     if (entry.version === 0) return await this.settleAfterRead(entry)
     const written = await this.write(entry)
@@ -126,12 +124,11 @@
   }
 
   /**
-   * Reads what stands and settles it, unless it belongs to another request by now.
+   * Reads the stored claim and settles it, unless it belongs to another request by now.
    *
-   * Safeguard: the platform gives old reads. One from before the claim was created says that it is missing, or shows
-   * an earlier one. Taken for settled, the claim stayed open; its holder forgot that it had sent, took it for one that
-   * it never sent, and ran the booking a second time. A read below the version that is known to stand tells
-   * nothing, and is repeated later.
+   * The platform may return stale reads: one from before the claim was created reports it as missing or returns an earlier claim. If that
+   * counted as settled, the claim would stay open, its holder would drop the record that it has sent the request, and the request could run
+   * twice. A read older than the known version therefore counts for nothing and is repeated later.
    */
   private async settleAfterRead (entry: Unsettled): Promise<boolean> {
     const read = await this.read(entry.name)
--- a/src/entry/keyed-index.ts
+++ b/src/entry/keyed-index.ts
@@ -15,17 +15,16 @@
 const FLUSH_PERIOD = 60_000
 const FLUSH_AT = 1_000
 const SWEEP_PERIOD = 600_000
-/** Pause between two removals: at most some 5 writes a second, and those in the background. */
+/** Pause between two removals, ms: limits them to 5 background writes a second. */
 const REMOVE_PAUSE = 200
-/** Lists of names read at once, each of some 65 KB at most. */
+/** Maximum number of lists of names in one read, each up to about 65 KB. */
 const LIST_LIMIT = 20
 
 interface DayNames { readonly names: readonly string[] }
 
 /**
- * Which keys were claimed on which day, so that they can be removed without a listing of all: objects
- * `keyed-day/DAY/DAEMON-RUN-N`, one a minute of use and daemon. Names that a daemon took with it when it died, at
- * most a minute's worth, stay until their key is used again.
+ * Indexes claimed keys by day, so that expired ones can be removed without listing all: objects `keyed-day/DAY/DAEMON-RUN-N`, up to one a minute
+ * from each daemon. The names of the last minute before a crash are missing from the index; those claims stay until their key is used again.
  */
 @scoped(Lifecycle.ContainerScoped)
 export class KeyedIndex implements Part {
@@ -67,7 +66,7 @@
     if (written.err) this.names = [...names, ...this.names].slice(-FLUSH_AT)
   }
 
-  /** Removes the keys of days that have passed out of keeping, the oldest first, where this daemon is to do it. */
+  /** Removes the claims of expired days, oldest first, if this daemon ranks first for it. */
   async removeOld (): Promise<void> {
     if (this.removing || rankOwners(KIND, this.members.owners())[0] !== this.settings.instance) return
     this.removing = true
@@ -81,7 +80,7 @@
     this.removing = false
   }
 
-  /** A key that was used again since then is a newer claim, and stays. */
+  /** Removes a claim unless its key has been used again since, which makes it a newer claim. */
   private async removeKey (name: string): Promise<void> {
     const read = await this.store.get<KeyedClaim>('keyed', name, 'background')
     if (read.err || this.clock.date() - read.val.value.at < DAY) return
--- a/src/entry/keyed-requests.ts
+++ b/src/entry/keyed-requests.ts
@@ -21,10 +21,10 @@
 import { KeyedIndex } from './keyed-index.js'
 import type { KeyedOutcome } from './keyed-outcome.js'
 
-/** Longest answer that is recorded, in bytes: base64 and the rest stay under the 1 MB of a value. */
+/** Longest recorded answer, bytes: in base64 and with the rest of the claim it stays under the 1 MB limit of a stored value. */
 const MAX_RECORDED_BYTES = 512_000
 const RETRY_AFTER = 2_000
-/** How long a request with a key in progress is held for its outcome, ms. */
+/** How long a request waits for the outcome of a run in progress under its key, ms. */
 const MAX_WAIT = 10_000
 const FIRST_POLL = 100
 const MAX_POLL = 1_000
@@ -32,13 +32,13 @@
 type Settlement = Parameters<KeyedClaims['settle']>[1]
 type StoredClaim = Parameters<KeyedClaims['settle']>[0]
 
-/** Runs requests that carry a key: each key of a caller at most once, whichever daemons it is sent through. */
+/** Runs requests that carry an idempotency key: at most once for each key of a caller, whichever daemons receive it. */
 @scoped(Lifecycle.ContainerScoped)
 export class KeyedRequests {
   private readonly run: number
-  /** Ids of claims whose request may have been sent by this process. */
+  /** Ids of unsettled claims whose request this process may have sent. */
   private readonly sent = new Set<string>()
-  /** What is running here, by the claim's name. */
+  /** Requests running in this process, by the claim's name. */
   private readonly running = new Map<string, Promise<unknown>>()
 
   constructor (
@@ -54,7 +54,7 @@
     this.run = members.run
   }
 
-  /** `request.signal` is left out of account: the caller may come back with its key for the answer. */
+  /** Runs the request or returns the outcome of its key. Ignores `request.signal`: a disconnected caller may ask for the answer again. */
   async send (request: ServerRequest, key: string): Promise<KeyedOutcome> {
     const name = hash(request.caller, key)
     const fingerprint = hash(request.service, request.method, request.path, request.body ?? '')
@@ -68,7 +68,7 @@
       const next = await this.resolveClaim(name, fingerprint)
       if (typeof next === 'object') return next
       version = next
-      // At once the first time only: an old read may go on calling free what a write finds taken.
+      // Retries without a delay only once: a stale read may keep showing the key as free while writes find it taken.
       if (version >= 0 && !this.running.has(name) && pause === FIRST_POLL) continue
       if (this.clock.now() >= end) return { type: 'in progress' }
       await this.wait('time', Math.min(pause, end - this.clock.now()))
@@ -80,7 +80,7 @@
     return { id: randomUUID(), holder: this.settings.instance, run: this.run, fingerprint, at, until: at + deadline - this.clock.now(), outcome: { type: 'open' } }
   }
 
-  /** Claims the key and runs the request, or says that the key is taken. */
+  /** Claims the key and runs the request; returns 'taken' where another claim exists. */
   private async begin (name: string, claim: KeyedClaim, version: number, request: ServerRequest): Promise<KeyedOutcome | 'taken'> {
     const running = this.claimAndRun(name, claim, version, request)
     this.running.set(name, running)
@@ -96,7 +96,7 @@
     if (created.err) return created.val.type === 'conflict' ? 'taken' : this.refuse(created.val)
     this.index.add(name)
     this.timeline.record({ part: 'entry', what: 'key claimed', request: request.id })
-    // A process that stood still between its claim and here would send long after its caller was told the end.
+    // A process that was paused since the claim must not send the request after its caller has timed out.
     if (this.clock.now() >= request.deadline) {
       await this.claims.settle(created.val, 'release')
       return { type: 'refused', refusal: { cause: 'deadline', ran: 'not run', retryAfter: this.random.spread(RETRY_AFTER), detail: 'the deadline passed before it was sent' } }
@@ -106,7 +106,7 @@
     return answer.ok ? await this.settleAnswer(created.val, answer.val) : await this.settleRefusal(created.val, answer.val)
   }
 
-  /** Forgets that it was sent once that is on record. */
+  /** Settles the claim, and drops the record that its request was sent once the outcome is stored. */
   private async settle (stored: StoredClaim, settlement: Settlement): Promise<void> {
     if (await this.claims.settle(stored, settlement)) this.sent.delete(stored.claim.id)
   }
@@ -121,7 +121,7 @@
     return { type: 'refused', refusal }
   }
 
-  /** Records the answer, then gives it: one who asks again gets the same. One that is cut ends as unknown. */
+  /** Records the answer before returning it, so that a repeated request gets the same one. A cut answer ends as unknown. */
   private async settleAnswer (stored: StoredClaim, answer: ServerAnswer): Promise<KeyedOutcome> {
     const collected = await readAnswer(answer, MAX_RECORDED_BYTES)
     if (collected.type === 'cut') {
@@ -136,7 +136,7 @@
     return { type: 'answered', status, contentType, body: collected.body, replayed: false, run: answer }
   }
 
-  /** What a claim that stands comes to; else the version to take it at, or -1 to wait for it. */
+  /** Returns the outcome of the stored claim, the version at which to take the key, or -1 to wait. */
   private async resolveClaim (name: string, fingerprint: string): Promise<KeyedOutcome | number> {
     const read = await this.claims.read(name)
     if (read.err) return read.val.type === 'missing' ? 0 : this.refuse(read.val)
@@ -159,7 +159,7 @@
     return ended ? { type: 'unknown', cause: 'the daemon that sent it is gone' } : -1
   }
 
-  /** Never right after a start or a pause, when this daemon has heard from nobody yet. */
+  /** Whether the holder's process has ended; false while this daemon has no members yet, right after a start or a pause. */
   private isHolderGone ({ holder, run }: KeyedClaim): boolean {
     if (this.members.owners().length === 0) return false
     const member = this.members.all().find(({ instance }) => instance.name === holder)
@@ -171,7 +171,7 @@
     return { type: 'refused', refusal: { cause: 'platform', ran: 'not run', retryAfter: this.random.spread(retryAfter), detail: 'the key could not be claimed at the platform; nothing was sent' } }
   }
 
-  /** Waits for `time` ms or, where the request runs here, for its end; not at all where that has come. */
+  /** Waits for `time` ms, or less if the given run ends sooner; returns at once where no run is given. */
   private async wait (running: Promise<unknown> | undefined | 'time', time: number): Promise<void> {
     if (running === undefined) return
     const timer = pauseFor(this.clock, time)
--- a/src/entry/online-routes.ts
+++ b/src/entry/online-routes.ts
@@ -31,7 +31,7 @@
 
 interface Target { readonly name: string, readonly service: Service, readonly path: string }
 
-/** Online requests: the OpenAI shapes for models, and /services/NAME/… for plain services. */
+/** Routes for online requests: the OpenAI interface for models, and /services/NAME/… for plain services. */
 @scoped(Lifecycle.ContainerScoped)
 export class OnlineRoutes implements Part {
   readonly extensions = ([
@@ -123,7 +123,7 @@
     sendRefusal(res, answer.val)
   }
 
-  /** A key marks the request as one that may not be repeated, whatever its service says. */
+  /** Sends a request with an idempotency key, which is never repeated, even where its service is idempotent. */
   private async sendKeyed (res: Response, request: ServerRequest, key: string, asked: number): Promise<void> {
     const { id, caller, service } = request
     if (key.length === 0 || key.length > KEY_LENGTH) {
@@ -136,7 +136,7 @@
     this.timeline.record({ part: 'entry', what: outcome.type, request: id })
   }
 
-  /** A body that is cut destroys the caller's connection, so that it never looks whole. */
+  /** Relays the answer. If its body is cut, the caller's connection is destroyed, so that the response doesn't look complete. */
   private async relay (answer: ServerAnswer, res: Response, { id, caller, service, asked }: { readonly id: string, readonly caller: string, readonly service: string, readonly asked: number }): Promise<void> {
     const { 'content-type': type, 'content-length': length } = answer.headers
     if (type !== undefined) res.setHeader('content-type', type)
@@ -161,7 +161,7 @@
   }
 }
 
-/** Once it was sent: a long answer is still coming until then. The tokens of a run are counted with it, not with replays of its answer. */
+/** Returns the accounting entry of a keyed request whose response has ended. Tokens count for the run, not for replays of its answer. */
 function findKeyedAccountEntry (outcome: KeyedOutcome, res: Response, whole: number): AccountEntry {
   if (outcome.type !== 'answered') return { type: 'refused', cause: outcome.type === 'refused' ? outcome.refusal.cause : outcome.type }
   const { status, body, run } = outcome
--- a/src/entry/operator-routes.ts
+++ b/src/entry/operator-routes.ts
@@ -12,7 +12,7 @@
 import type { Route } from './route.js'
 import { routePoint } from './route-point.js'
 
-/** What operators ask of a daemon: the members and whether it is ready. */
+/** Routes for operators and probes: status, drain, liveness and readiness. */
 @scoped(Lifecycle.ContainerScoped)
 export class OperatorRoutes implements Part {
   readonly extensions = ([
--- a/src/entry/read-answer.ts
+++ b/src/entry/read-answer.ts
@@ -1,13 +1,13 @@
 import { Readable } from 'node:stream'
 import type { ServerAnswer } from '../routing/server-answer.js'
 
-/** An answer's body: whole, longer than `limit` and still coming, or cut before either. */
+/** The body of an answer: complete, longer than the limit with the rest still to be streamed, or cut before either. */
 type CollectedAnswer =
   | { readonly type: 'whole', readonly body: Buffer }
   | { readonly type: 'long', readonly body: Readable }
   | { readonly type: 'cut' }
 
-/** Reads the body of an answer, holding at most `limit` bytes of it and what came with the last of them. */
+/** Reads the body of an answer, buffering at most `limit` bytes plus the chunk that exceeds it. */
 export async function readAnswer (answer: ServerAnswer, limit: number): Promise<CollectedAnswer> {
   const parts: Buffer[] = []
   const source = (answer.body as AsyncIterable<Buffer>)[Symbol.asyncIterator]()
--- a/src/entry/response-sink.ts
+++ b/src/entry/response-sink.ts
@@ -6,7 +6,7 @@
 
 type Headers = Readonly<Record<string, string | string[] | undefined>>
 
-/** Gives a routed answer to the caller's response. Once the caller has left, nothing it is told matters. */
+/** Writes a routed answer to the caller's response. Errors after the caller has disconnected are ignored. */
 export class ResponseSink implements AnswerSink {
   constructor (private readonly res: ServerResponse) {
     res.on('error', () => {})
@@ -22,7 +22,7 @@
     if (!this.res.destroyed) sendRoutedRefusal(this.res, refusal)
   }
 
-  /** The length of the first server's part would be wrong where another one goes on. */
+  /** Starts a streamed answer without its length, which would be wrong once another server resumes the stream. */
   begin (status: number, headers: Headers): void {
     const { 'content-length': _length, ...rest } = dropConnectionHeaders(headers)
     this.res.writeHead(status, rest)
--- a/src/entry/route-point.ts
+++ b/src/entry/route-point.ts
@@ -1,5 +1,5 @@
 import { ExtensionPoint } from '../kernel/extension-point.js'
 import type { Route } from './route.js'
 
-/** Where parts add routes to the HTTP interface. */
+/** The extension point through which parts add routes to the HTTP interface. */
 export const routePoint = new ExtensionPoint<Route>('routes')
--- a/src/entry/route.ts
+++ b/src/entry/route.ts
@@ -1,6 +1,6 @@
 import type { Request, Response } from '@tinyhttp/app'
 
-/** Who may call a route: callers with a token, operators, or anybody. */
+/** Access to a route: callers with a token, operators, or everyone. */
 type Access = 'caller' | 'operator' | 'public'
 
 /** One route of the HTTP interface, contributed by a part. */
@@ -8,6 +8,6 @@
   readonly method: 'get' | 'post' | 'put' | 'delete' | 'all'
   readonly path: string
   readonly access: Access
-  /** `caller` is the authenticated caller's name; empty on routes that aren't for callers. */
+  /** Handles a request. `caller` is the authenticated caller's name, empty on routes of other access. */
   handle (req: Request, res: Response, caller: string): Promise<void> | void
 }
--- a/src/entry/routed-entry.ts
+++ b/src/entry/routed-entry.ts
@@ -32,31 +32,31 @@
 const HEADERS_TIMEOUT = 10_000
 const TIMEOUT_CHECK = 1_000
 const MAX_HEADER_BYTES = 65_536
-/** How long callers are told that an idle connection stays usable, s, and how long it does, ms: longer than they keep any. */
+/** Keep-alive timeout announced to callers, s, and the actual one, ms, which is longer so that callers close first. */
 const KEEP_ALIVE = 20
 const KEEP_ALIVE_TIMEOUT = 30_000
-/** Some callers keep an answer of the addresses for three times as long as they were told. */
+/** Some callers cache an answer with addresses for up to three times as long as allowed. */
 const ADDRESS_KEEP_FACTOR = 3
-/** For the way of an answer to its caller, ms. */
+/** Added to the cache time of an answer with addresses, ms: callers count from its arrival. */
 const NETWORK_DELAY = 300
-/** A connection idle for this long while closing has no request on its way, ms: several round trips to callers. */
+/** Idle time after which a connection is closed while draining, ms: several round trips, so that no request is in flight to it. */
 const CLOSE_IDLE_AFTER = 400
-/** Left of the time to end for what is still being answered, ms. */
+/** How long before the process would be killed the requests still in progress are cut, ms. */
 const SHUTDOWN_MARGIN = 700
 const NO_SERVICE_RETRY = 300
-/** Callers that come to a daemon that knows nothing yet are spread by this share either way. */
+/** Relative spread of the retry delay while this daemon has no configuration yet. */
 const NOT_READY_SPREAD = 0.3
-/** Below this share of the longest time that callers of a route give, one has tried before. */
+/** A request with less than this share of the longest timeout of its route counts as a retry. */
 const RETRY_SHARE = 0.97
 const DEFAULT_DEADLINE = 60_000
 
-/** The door for requests by host and path: finds their route and passes them on, or answers what can't be. */
+/** The entry for requests by host and path: finds the route and forwards the request, or answers why it can't. */
 @scoped(Lifecycle.ContainerScoped)
 export class RoutedEntry implements Part {
   private readonly server: Server
   private readonly connections: CallerConnections
   private readonly startupWait: StartupWait
-  /** By route, for as long as its configuration is held: the longest time that a caller has given, ms. */
+  /** By route of the current configuration: the longest timeout that a caller has sent, ms. */
   private readonly longestTimeouts = new WeakMap<Route, number>()
 
   constructor (
@@ -96,15 +96,15 @@
   }
 
   /**
-   * Tells the others that this daemon leaves, and serves on until no kept answer of the addresses names it; then ends each
-   * connection with its last answer. Whatever still runs shortly before the process would be killed is cut then.
+   * Announces that this daemon is leaving, serves until no cached answer with addresses names it, then closes each connection after its last
+   * response. Requests still in progress shortly before the process would be killed are cut.
    */
   async drain (): Promise<void> {
     const { addressKeep, shutdownTime } = this.settings
     const end = this.clock.now() + shutdownTime - SHUTDOWN_MARGIN
     void this.members.leave()
     await pauseFor(this.clock, ADDRESS_KEEP_FACTOR * addressKeep + NETWORK_DELAY)
-    this.log.write('info', 'entry', 'closes its connections', { connections: this.connections.size })
+    this.log.write('info', 'entry', 'closing connections', { connections: this.connections.size })
     await Promise.race([this.connections.close(), pauseFor(this.clock, Math.max(0, end - this.clock.now()))])
   }
 
@@ -163,7 +163,7 @@
     }, service, new ResponseSink(res))
   }
 
-  /** How long ago a caller first asked, ms: one that comes again has less time left than the route's callers begin with. */
+  /** Estimates how long ago a caller first sent its request, ms: a retry has less time left than first attempts on the same route. */
   private estimateElapsed (route: Route, left: number | undefined): number {
     if (left === undefined) return 0
     const longest = Math.max(left, this.longestTimeouts.get(route) ?? 0)
--- a/src/entry/routed-settings.ts
+++ b/src/entry/routed-settings.ts
@@ -1,20 +1,20 @@
 import type { Endpoint } from './endpoint.js'
 
-/** Where a daemon serves requests by host and path, and the bounds that its platform sets. Times in ms. */
+/** The endpoints of a daemon that serves requests by host and path, and the limits that its platform sets. Times in ms. */
 export interface RoutedSettings {
   /** For callers' requests. */
   readonly requests: Endpoint
-  /** For the platform's question whether this daemon is ready. */
+  /** For the platform's readiness probe. */
   readonly readiness: Endpoint
-  /** For callers' question which daemons to use. */
+  /** For callers' requests for entry addresses. */
   readonly addresses: Endpoint
   readonly metrics: Endpoint
-  /** How long callers are told to keep an answer of the addresses. */
+  /** Cache time of an answer with addresses, as sent to callers. */
   readonly addressKeep: number
-  /** From the signal to end until the process is killed. */
+  /** Time from the termination signal until the process is killed. */
   readonly shutdownTime: number
-  /** Calls a second that the store serves to all daemons together. */
+  /** Calls per second that the store serves to all daemons together. */
   readonly storeRates: { readonly reads: number, readonly writes: number }
-  /** From the submission of a job until its results may be removed. */
+  /** Time from the submission of a job until its results may be removed. */
   readonly resultKeep: number
 }
--- a/src/entry/send-keyed-outcome.ts
+++ b/src/entry/send-keyed-outcome.ts
@@ -7,7 +7,7 @@
 
 const IN_PROGRESS_RETRY = 2_000
 
-/** Answers a keyed request. A replayed answer carries `idempotency-replayed: true`. */
+/** Sends the outcome of a keyed request. A replayed answer carries `idempotency-replayed: true`. */
 export async function sendKeyedOutcome (res: ServerResponse, outcome: KeyedOutcome): Promise<void> {
   switch (outcome.type) {
     case 'answered': return await sendAnswer(res, outcome)
--- a/src/entry/send-problem.ts
+++ b/src/entry/send-problem.ts
@@ -2,20 +2,17 @@
 
 const MS_PER_SECOND = 1_000
 
-/** What a problem document says; `retryAfter` in ms becomes the Retry-After header, rounded up to seconds. */
+/** The contents of a problem document. `retryAfter`, in ms, becomes the Retry-After header, rounded up to seconds. */
 interface Problem {
   readonly status: number
   readonly code: string
   readonly detail: string
   readonly retryAfter?: number
-  /** Further members of the document. */
+  /** Additional members of the document. */
   readonly more?: Readonly<Record<string, unknown>>
 }
 
-/**
- * Answers with a problem document (RFC 9457). It also has the `error` member of the OpenAI shapes, so that their
- * clients show the same sentence.
- */
+/** Answers with a problem document (RFC 9457). It includes the `error` member that OpenAI clients display. */
 export function sendProblem (res: ServerResponse, { status, code, detail, retryAfter, more = {} }: Problem): void {
   if (res.headersSent) {
     res.destroy()
--- a/src/entry/send-refusal.ts
+++ b/src/entry/send-refusal.ts
@@ -4,8 +4,8 @@
 import { sendProblem } from './send-problem.js'
 
 /**
- * Answers a request that was given up, saying whether it can have run and when to come back. The header tells whole
- * seconds; `retryAfter` in the document tells the ms, so that callers who read it come back spread and not each second.
+ * Answers a refused request with whether it may have run and when to retry. The header holds whole seconds; `retryAfter` in the document holds
+ * ms, so that callers that use it don't all retry on the same second.
  */
 export function sendRefusal (res: ServerResponse, refusal: Refusal): void {
   sendProblem(res, {
--- a/src/entry/send-routed-refusal.ts
+++ b/src/entry/send-routed-refusal.ts
@@ -7,7 +7,7 @@
 const BAD_GATEWAY = 502
 const GATEWAY_TIMEOUT = 504
 
-/** Answers a request that was given up: 503 promises that it has not run and tells when to come back; 502 and 504 promise nothing. */
+/** Answers a refused request: 503 guarantees that it has not run and tells when to retry; 502 and 504 guarantee nothing. */
 export function sendRoutedRefusal (res: ServerResponse, { cause, ran, retryAfter, detail }: Refusal): void {
   const status = ran === 'not run' ? UNAVAILABLE : cause === 'deadline' ? GATEWAY_TIMEOUT : BAD_GATEWAY
   const headers: Record<string, string> = ran === 'not run' ? { 'retry-after': (retryAfter / MS_PER_SECOND).toFixed(3) } : {}
--- a/src/entry/startup-wait.ts
+++ b/src/entry/startup-wait.ts
@@ -1,46 +1,40 @@
 import type { Clock } from '../kernel/clock.js'
 import { waitForNext } from '../kernel/wait-for-next.js'
 
-/**
- * How long after its start a daemon lets requests wait for what it must know, ms. The store answers within some ten, and one that
- * doesn't by then is away for longer than callers can wait.
- */
+/** How long after its start a daemon holds requests until its state has loaded, ms. A store that hasn't answered by then is unavailable. */
 const MAX_STARTUP_WAIT = 600
-/** Bounds of what callers are told to wait, ms: the store may answer in a moment, and callers have no more than some seconds. */
+/** Bounds of the retry delay sent to callers, ms; callers have only a few seconds in all. */
 const MIN_RETRY = 300
 const MAX_RETRY = 2_000
 
-interface StartWaitOptions {
+interface StartupWaitOptions {
   readonly clock: Clock
   readonly isLoaded: () => boolean
-  /** Calls `listener` whenever that may have changed; the function it gives back ends that. */
+  /** Calls `listener` whenever `isLoaded` may have changed, until the returned function is called. */
   readonly subscribe: (listener: () => void) => () => void
 }
 
 /**
- * Lets the first requests of a process wait until it knows its configuration and the backend servers.
+ * Holds the first requests of a process until its configuration and backend servers have loaded.
  *
- * Load pattern: all daemons ended, and a second's callers come at once to processes that have just started. Refused for what the
- * store will have told in a moment, they lose their last try; later, while the store is away, they are told at once.
+ * After a restart of the whole fleet many callers arrive at processes that have just started. Refusing them for state that loads in a moment
+ * would use up their retries. Once the startup time has passed, requests are refused at once.
  */
 export class StartupWait {
   private readonly startedAt: number
   private readonly until: number
 
-  constructor (private readonly options: StartWaitOptions) {
+  constructor (private readonly options: StartupWaitOptions) {
     this.startedAt = options.clock.now()
     this.until = this.startedAt + MAX_STARTUP_WAIT
   }
 
-  /**
-   * When a caller that is refused should come again, ms: a store that has been away for long will be for a while yet, and a caller sent
-   * back to it at once has used up its tries.
-   */
+  /** Retry delay for refused callers, ms. It grows with the length of the outage, so that callers don't use up their retries during it. */
   get retryAfter (): number {
     return Math.min(MAX_RETRY, Math.max(MIN_RETRY, this.options.clock.now() - this.startedAt))
   }
 
-  /** Resolves once all is known, true, or once waiting is of no use, false. */
+  /** Waits for the state; resolves to true once it has loaded, or to false once the startup time has passed. */
   async wait (): Promise<boolean> {
     const { clock, isLoaded, subscribe } = this.options
     while (!isLoaded()) {
--- a/test/entry/addresses.test.ts
+++ b/test/entry/addresses.test.ts
@@ -27,12 +27,12 @@
   t.true(Math.max(...counts.values()) < 150)
 })
 
-test('one that leaves, is suspect or has no configuration yet is not named', t => {
+test('members that are leaving, suspect or without a configuration are left out', t => {
   const members = [createMember('a', 'a', { state: 'leaving' }), createMember('b', 'b', { state: 'suspect' }), createMember('c', 'c', { ready: false }), createMember('d', 'd')]
   t.deepEqual(chooseAddresses(members, 'x').map(({ instance }) => instance.name), ['d'])
 })
 
-test('the connection table counts by address and knows what has been idle for how long', t => {
+test('the connection table counts connections by address and lists idle ones', t => {
   const table = new ConnectionTable<string>()
   table.add('one', 'address', 0)
   table.add('two', 'address', 0)
--- a/test/entry/caller-connections.test.ts
+++ b/test/entry/caller-connections.test.ts
@@ -33,9 +33,8 @@
   return await Promise.race([once(socket, 'data').then(([data]) => String(data)), once(socket, 'close').then(() => 'closed')])
 }
 
-// A caller sends on its idle connection while the daemon is closing. Had the daemon closed it at that moment, as the
-// HTTP server does by itself, the request would be cut, and the caller couldn't tell whether it ran.
-test('a request on an idle connection is still answered while closing, and ends the connection', async t => {
+// Guards against cutting a request on a connection that was idle when the daemon began to close, as `close` of an HTTP server does.
+test('a request on an idle connection is still answered while closing, and closes the connection', async t => {
   const { clock, connections, open } = await setUp(t)
   const [socket, idle] = [await open(), await open()]
   t.regex(await ask(socket), /keep-alive: timeout=5/i)
@@ -53,7 +52,7 @@
   t.is(connections.size, 0)
 })
 
-// One caller opens connections without end. It is told so, and those of other addresses still find room.
+// Guards against one caller that uses up the connections of the daemon.
 test('connections of one address above its limit get a problem document', async t => {
   const { open } = await setUp(t)
   for (let i = 0; i < 1_000; i += 100) await Promise.all(Array.from({ length: 100 }, open))
--- a/test/entry/guard.test.ts
+++ b/test/entry/guard.test.ts
@@ -23,7 +23,7 @@
   return { status: response.statusCode, problem: JSON.parse(await response.body.text()) }
 }
 
-/** What the daemon answers to raw bytes, until it closes the connection. */
+/** Sends raw bytes and returns the response, up to the end of the connection. */
 async function sendRaw (port: number, bytes: string): Promise<string> {
   const socket = connect(port, '127.0.0.1')
   let text = ''
@@ -34,7 +34,7 @@
   return text
 }
 
-test('what is not allowed or not well-formed gets a problem that names its cause, and reaches no server', async t => {
+test('unauthorized and malformed requests get a problem document with the cause and reach no server', async t => {
   const { fleet, server, url, port } = await startFleet(t)
   const caller = 'Bearer quay-desk-token'
   const cases: readonly (readonly [string, Parameters<typeof ask>[1], number, RegExp])[] = [
@@ -59,9 +59,8 @@
   t.is((await fleet.readLog(server)).length, 0)
 })
 
-// Somebody opens connections and sends its headers a byte at a time, or bodies without end and with a wrong token.
-// The daemon closes the first after 10 s and drops the second as it comes; callers notice nothing and memory is flat.
-test('slow headers and endless bodies leave memory flat and others unmoved', async t => {
+// Guards against slow headers and oversized bodies that exhaust memory or delay other callers.
+test('slow headers and oversized bodies neither grow memory nor affect other callers', async t => {
   const { fleet, url, port } = await startFleet(t)
   const readMemory = async (): Promise<number> => (await fleet.operator('GET', fleet.daemons[0]!, '/operator/status')).memory
   const caller = new CallerClient(url, 'quay-desk-token')
--- a/test/entry/keyed-index.test.ts
+++ b/test/entry/keyed-index.test.ts
@@ -9,9 +9,8 @@
 const DAY = 86_400_000
 const MINUTE = 60_000
 
-// Keys are used on one day, one of them again two days later. When the day has passed out of keeping, exactly one
-// daemon removes what is old, without listing all keys; the one that was used again must stay, or it could run twice.
-test('old keys are removed by one daemon, those used again stay', async t => {
+// Guards against a key that is removed although it was used again, so that its request could run twice, and against listing all keys.
+test('one daemon removes expired keys, and keys used again stay', async t => {
   const store = new MemoryStore()
   const clock = new VirtualClock()
   const create = (instance: string): KeyedIndex => {
--- a/test/entry/keyed-requests.test.ts
+++ b/test/entry/keyed-requests.test.ts
@@ -24,7 +24,7 @@
 
 type SendAnswer = Result<ServerAnswer, Refusal>
 
-/** Daemons that share a platform and a server; the server's own log counts the runs. */
+/** Daemons that share a platform and a server; `log` records the runs of the server. */
 class KeyedFleet {
   readonly store = new MemoryStore()
   readonly clock = new VirtualClock()
@@ -54,7 +54,7 @@
     return Ok({ server: 'server-0', status: 200, headers: { 'content-type': 'text/plain' }, body: Readable.from([Buffer.from(text)]), end: () => {} })
   }
 
-  /** Lets time pass until the outcome is there; bodies are read outside of virtual time. */
+  /** Advances time until the outcome has resolved; bodies are read outside of virtual time. */
   async settle<T> (outcome: Promise<T>): Promise<T> {
     const state = { ended: false }
     void outcome.finally(() => { state.ended = true })
@@ -74,7 +74,7 @@
   return outcome.type === 'answered' ? `${outcome.replayed ? 'replayed' : 'answered'} ${String(outcome.body)}` : outcome.type
 }
 
-test('the same key again gets the same answer, through any daemon; another body is refused', async t => {
+test('a repeated key gets the same answer through any daemon; a different body is refused', async t => {
   const fleet = new KeyedFleet()
   const [a, b] = [fleet.create('a'), fleet.create('b')]
   t.is(await fleet.ask(a), 'answered run 1')
@@ -83,9 +83,8 @@
   t.is(await fleet.ask(b, 'other'), 'answered run 2')
 })
 
-// A caller sends its booking through two daemons at the same time, and once more through the first.
-// Both see no claim; the conditional create lets one of them win, the others wait for its outcome.
-test('the same key at once runs once and all get its answer', async t => {
+// Guards against concurrent requests with the same key that each find no claim and all run.
+test('concurrent requests with the same key run once and get the same answer', async t => {
   const fleet = new KeyedFleet()
   const [a, b] = [fleet.create('a'), fleet.create('b')]
   const outcomes = await fleet.settle(Promise.all([a, b, a].map(async daemon => await daemon.send(fleet.request(), 'k'))))
@@ -93,10 +92,8 @@
   t.is(fleet.log.length, 1)
 })
 
-// A booking runs and is confirmed while the platform answers reads from before its claim. Its guest sends it again,
-// through the same daemon and another. An old "missing" was taken for a claim that is settled: it stayed open, its
-// holder forgot that it had sent, and ran the booking again (hunt 2: three bookings ran twice).
-test('a booking that ran while reads were old is never run again', async t => {
+// Guards against a stale read from before the claim that counts as settled: the claim stays open and its holder runs the request again.
+test('a request that ran while reads were stale never runs again', async t => {
   const fleet = new KeyedFleet()
   const [a, b] = [fleet.create('a'), fleet.create('b')]
   fleet.store.keepOld()
@@ -108,8 +105,8 @@
   t.is(fleet.log.length, 1)
 })
 
-// As before, and the write that records the answer is lost as well: what is known of the claim is its first version.
-test('an answer whose record was lost is recorded later, old reads or not', async t => {
+// As above, and the reply to the write of the answer is lost too, so that only the first version of the claim is known.
+test('an answer whose record was lost is recorded later, even with stale reads', async t => {
   const fleet = new KeyedFleet()
   const [a, b] = [fleet.create('a'), fleet.create('b')]
   let puts = 0
@@ -126,9 +123,8 @@
   t.is(fleet.log.length, 1)
 })
 
-// The holder dies after its claim, before or after it has sent. The caller comes back through another daemon.
-// Nobody can tell which it was, so the answer is "unknown", now and later, and the request isn't run again.
-test('a claim whose holder is gone ends as unknown, and is never run again', async t => {
+// Guards against a second run after the holder has ended between its claim and the answer: it may or may not have sent the request.
+test('a claim whose holder has ended ends as unknown, and its request never runs again', async t => {
   for (const sent of [false, true]) {
     const fleet = new KeyedFleet()
     const [a, b] = [fleet.create('a'), fleet.create('b')]
@@ -147,8 +143,7 @@
   }
 })
 
-// The holder is frozen between its claim and its send. When it thaws its caller's deadline has passed; it must not
-// send, since a late booking would surprise a caller that has given up. Nothing was sent, so the key is free again.
+// Guards against a holder that is paused after its claim and sends the request after its caller has timed out.
 test('a holder paused past the deadline sends nothing when it resumes', async t => {
   const fleet = new KeyedFleet()
   const [a, b] = [fleet.create('a'), fleet.create('b')]
@@ -162,7 +157,7 @@
   t.is(await fleet.ask(b), 'answered run 1')
 })
 
-test('what was not run releases the key; what may have run does not', async t => {
+test('a request that has not run releases the key; one that may have run does not', async t => {
   const fleet = new KeyedFleet()
   const a = fleet.create('a')
   const refuse = (ran: Refusal['ran']): void => { fleet.answer = async () => Err({ cause: 'server failed', ran, retryAfter: 1, detail: '' }) }
@@ -175,8 +170,7 @@
   t.is(fleet.log.length, 0)
 })
 
-// The platform is down: no claim can be made durable, so nothing may be sent.
-// The caller hears at once that it was not run, and the same key works once the platform is back.
+// Guards against a request that is sent without a durable claim, and against a key that stays unusable after an outage.
 test('a platform outage refuses as not run, without sending', async t => {
   const fleet = new KeyedFleet()
   const a = fleet.create('a')
@@ -187,8 +181,7 @@
   t.is(await fleet.ask(a), 'answered run 1')
 })
 
-// The write of the claim takes effect and its reply is lost. Taken for a failure it would leave the key held by a
-// request that never runs; taken for a success without looking it could run twice. The claim's own id tells.
+// Guards against a claim whose write took effect without a reply: as a failure it would block the key, as a success the request could run twice.
 test('a lost reply to the claim is settled by its id', async t => {
   const fleet = new KeyedFleet()
   const [a, b] = [fleet.create('a'), fleet.create('b')]
@@ -197,7 +190,7 @@
   t.is(await fleet.ask(b), 'replayed run 1')
 })
 
-test('an outage between the send and its record: the answer is given, and recorded later', async t => {
+test('an answer that cannot be recorded during an outage is returned at once and recorded later', async t => {
   const fleet = new KeyedFleet()
   const [a, b] = [fleet.create('a'), fleet.create('b')]
   fleet.answer = async request => {
@@ -210,7 +203,7 @@
   t.is(await fleet.ask(b), 'replayed run 1')
 })
 
-test('an answer too long to keep is given once, and its key says so afterwards', async t => {
+test('an answer too long to be recorded is returned once, and its key reports that afterwards', async t => {
   const fleet = new KeyedFleet()
   const a = fleet.create('a')
   fleet.answer = async () => Ok({ server: 's', status: 200, headers: {}, body: Readable.from([Buffer.alloc(400_000), Buffer.alloc(400_000)]), end: () => {} })
@@ -221,7 +214,7 @@
   t.is(await fleet.ask(a), 'not kept')
 })
 
-test('over random orders of sends, deaths, restarts, lost replies and old reads, a key runs at most once', async t => {
+test('over random sequences of sends, restarts, lost replies and stale reads, a key runs at most once', async t => {
   const step = fc.record({ who: fc.constantFrom('a', 'b'), what: fc.constantFrom('send', 'send', 'die', 'lose', 'outage', 'old reads', 'calm'), wait: fc.integer({ min: 0, max: 3 }) })
   await fc.assert(fc.asyncProperty(fc.array(step, { maxLength: 14 }), async steps => {
     const fleet = new KeyedFleet()
@@ -246,9 +239,8 @@
   t.pass()
 })
 
-// The write of the claim is held up on the way: it isn't there when read back, so the caller hears "not run", and then
-// it takes effect. Left standing it would keep the key from its caller until the deadline, and then as unknown.
-test('a claim that comes to stand late is released', async t => {
+// Guards against a delayed write of a claim that takes effect after its caller was told "not run" and then blocks the key.
+test('a claim whose write takes effect late is released', async t => {
   const fleet = new KeyedFleet()
   const [a, b] = [fleet.create('a'), fleet.create('b')]
   const claims = fleet.store.objects
--- a/test/entry/keyed-whole.test.ts
+++ b/test/entry/keyed-whole.test.ts
@@ -22,9 +22,8 @@
   return { fleet, a: a!, b: b!, server, members, count }
 }
 
-// A caller that got no answer in time sends its booking again through another daemon while the first still runs.
-// The second waits for the first one's outcome and gives the same answer.
-test('the same key through two daemons at once runs once', async t => {
+// Guards against a second run of a request that is repeated through another daemon while the first run is in progress.
+test('concurrent requests with the same key through two daemons run once', async t => {
   const { a, b, count } = await startFleet(t, { delay: 300 })
   const answers = await Promise.all([a, b, a, b].map(async caller => await caller.call('POST', PATH, { slot: 3 }, KEY)))
   t.deepEqual(answers.map(({ status }) => status), [200, 200, 200, 200])
@@ -34,9 +33,8 @@
   t.is(await count(), 1)
 })
 
-// The daemon that holds the key is killed between its send and the answer. The server has run the booking, nobody
-// has recorded that. The caller sends it again through the other daemon and must not book twice.
-test('a daemon killed before its answer leaves the key unknown, and it isn\'t run again', async t => {
+// Guards against a second run after the holder was killed between its send and the answer.
+test('a daemon killed before its answer leaves the key unknown, and the request does not run again', async t => {
   const { fleet, a, b, members, count } = await startFleet(t, { silence: true })
   void a.call('POST', PATH, { slot: 3 }, KEY).catch(() => {})
   await fleet.waitUntil(async () => await count() === 1)
@@ -50,9 +48,8 @@
   t.is(await count(), 1)
 })
 
-// The daemon is frozen with the booking under way and resumed after the others have given it up.
-// It goes on where it stood; it must neither send again nor have let another one send.
-test('a daemon paused with a key and resumed runs it once', async t => {
+// Guards against a second run when the holder is paused during the run and resumes after the others consider it dead.
+test('a request whose daemon is paused and resumed runs once', async t => {
   const { fleet, a, b, members, count } = await startFleet(t, { delay: 500 })
   const first = a.call('POST', PATH, { slot: 3 }, KEY)
   await fleet.waitUntil(async () => await count() === 1)
@@ -65,8 +62,8 @@
   t.is(await count(), 1)
 })
 
-// The server takes the booking and cuts its answer, or falls silent: it ran, and nobody knows with what outcome.
-for (const [name, faults] of [['a cut answer', { cut: true }], ['a silent server', { silence: true }]] as const) {
+// Guards against a second run after the server has run the request and its answer was cut or never came.
+for (const [name, faults] of [['a cut answer', { cut: true }], ['an unresponsive server', { silence: true }]] as const) {
   test(`${name} leaves the key unknown after one run`, async t => {
     const { a, b, count } = await startFleet(t, faults, 1_500)
     for (const caller of [a, b]) t.is((await caller.call('POST', PATH, { slot: 3 }, KEY)).status, 502)
@@ -76,7 +73,7 @@
   })
 }
 
-// The platform is down, so that no claim can be kept: the booking is refused before anything is sent.
+// Guards against a request that is sent without a stored claim.
 test('a keyed request in a platform outage is refused as not run', async t => {
   const { fleet, a, count } = await startFleet(t, {})
   await fleet.setPlatformFaults({ outage: 'refused' })
@@ -86,7 +83,7 @@
   t.truthy(answer.headers['retry-after'])
   t.is(await count(), 0)
   await fleet.setPlatformFaults({})
-  // Until a probe has found the platform back, calls are still refused as not run.
+  // Requests are refused as not run until a probe has succeeded.
   await fleet.waitUntil(async () => {
     const { status, text } = await a.call('POST', PATH, { slot: 3 }, KEY)
     if (status !== 200) t.is(JSON.parse(text).ran, 'not run')
@@ -95,8 +92,8 @@
   t.is(await count(), 1)
 })
 
-// Replies to half of all writes are lost after they took effect: claims and records must be settled by their ids.
-test('lost replies of the platform: each key still runs once and replays', async t => {
+// Guards against second runs and lost answers when replies to half of the writes are lost after they took effect.
+test('each key runs once and replays while replies of the platform are lost', async t => {
   const { fleet, a, b, count } = await startFleet(t, {})
   await fleet.setPlatformFaults({ lostReplies: 0.5, seed: 4 })
   const keys = Array.from({ length: 12 }, (_, i) => ({ 'idempotency-key': `lost-${i}` }))
--- a/test/entry/online-account.test.ts
+++ b/test/entry/online-account.test.ts
@@ -26,10 +26,10 @@
 
 interface Given { readonly status: number, readonly tokens?: number, readonly failure?: string, readonly bytes?: number }
 
-/** Over what a keyed answer may have to be kept. */
+/** Longer than an answer that is recorded under a key, bytes. */
 const LONG = 600_000
 
-/** The routes of one daemon whose gate gives the same answer to each request. */
+/** Starts the routes of one daemon whose gate returns the same answer to each request. */
 async function start (t: ExecutionContext, { status, tokens = 0, failure, bytes = 10 }: Given): Promise<{ readonly port: number, readonly account: Account }> {
   const clock = new SystemClock()
   const settings = { instance: 'entry-0' } as unknown as Settings
@@ -66,16 +66,15 @@
 const CASES: Readonly<Record<string, { readonly given: Given, readonly keys: readonly (string | undefined)[], readonly row: Partial<AccountCounts> }>> = {
   'an answer': { given: { status: 200, tokens: 7 }, keys: [undefined], row: { asked: 1, answered: 1, tokens: 7, failed: {} } },
   'an answer under a key': { given: { status: 200, tokens: 7 }, keys: ['a'], row: { asked: 1, answered: 1, tokens: 7, failed: {} } },
-  'the same answer again, which takes no tokens': { given: { status: 200, tokens: 7 }, keys: ['a', 'a'], row: { asked: 2, answered: 2, tokens: 7, failed: {} } },
-  'an answer too long to be kept': { given: { status: 200, tokens: 7, bytes: LONG }, keys: ['a'], row: { asked: 1, answered: 1, tokens: 7, failed: {} } },
-  'a server that says that it failed': { given: { status: 500 }, keys: [undefined, undefined], row: { asked: 2, answered: 0, tokens: 0, failed: { 'status-500': 2 } } },
-  'a server that says so under a key': { given: { status: 503, tokens: 3 }, keys: ['a', 'a'], row: { asked: 2, answered: 0, tokens: 0, failed: { 'status-503': 2 } } },
-  'a server that says that the caller is wrong': { given: { status: 404 }, keys: [undefined, 'a'], row: { asked: 2, answered: 2, tokens: 0, failed: {} } },
+  'a replayed answer, which uses no tokens': { given: { status: 200, tokens: 7 }, keys: ['a', 'a'], row: { asked: 2, answered: 2, tokens: 7, failed: {} } },
+  'an answer too long to be recorded': { given: { status: 200, tokens: 7, bytes: LONG }, keys: ['a'], row: { asked: 1, answered: 1, tokens: 7, failed: {} } },
+  'a server error': { given: { status: 500 }, keys: [undefined, undefined], row: { asked: 2, answered: 0, tokens: 0, failed: { 'status-500': 2 } } },
+  'a server error under a key': { given: { status: 503, tokens: 3 }, keys: ['a', 'a'], row: { asked: 2, answered: 0, tokens: 0, failed: { 'status-503': 2 } } },
+  'a client error': { given: { status: 404 }, keys: [undefined, 'a'], row: { asked: 2, answered: 2, tokens: 0, failed: {} } },
   'a stream that broke off': { given: { status: 200, tokens: 3, failure: 'server failed' }, keys: [undefined, 'a'], row: { asked: 2, answered: 0, tokens: 0, failed: { 'server failed': 2 } } }
 }
 
-// An operator reads who got what. A server's own error was counted as an answer, so that a service that failed all day
-// looked well, and what ran under a key counted no tokens, as if its caller had used nothing.
+// Guards against server errors that are counted as answers, and keyed requests whose tokens are not counted.
 for (const [name, { given, keys, row }] of Object.entries(CASES)) {
   test(`the account of ${name}`, async t => {
     const { port, account } = await start(t, given)
@@ -84,7 +83,7 @@
       t.is(answer.statusCode, given.status)
       await answer.body.dump({ limit: 2 * LONG }).catch(() => {})
     }
-    // An outcome is counted once its answer is sent, which its caller may hear of before.
+    // An outcome is counted once the response has ended, which the caller may see before the daemon does.
     while (countOpen(account) > 0) await new Promise(resolve => setImmediate(resolve))
     const counts = account.read()['quay/desk/online']!
     t.like(counts, row)
--- a/test/entry/shutdown.test.ts
+++ b/test/entry/shutdown.test.ts
@@ -23,7 +23,7 @@
   return addresses.map(({ url }) => url)
 }
 
-/** Callers that keep each answer of /v1/addresses for as long as they may, asking over kept connections, until stopped. */
+/** Callers that send requests until stopped, with cached answers of /v1/addresses and over keep-alive connections. */
 class Load {
   answers = 0
   readonly failures: string[] = []
@@ -53,7 +53,7 @@
     }
   }
 
-  /** `anew`: over a connection of its own, as a caller does that knows only the address. */
+  /** `anew`: over a new connection. */
   private async ask (url: string, anew: boolean): Promise<void> {
     try {
       const { statusCode, body } = await request(`${url}/v1/chat/completions`, {
@@ -72,7 +72,7 @@
   }
 }
 
-/** Ends that many daemons in turn under the load, and lets each caller be answered once more; no request may fail. */
+/** Ends `count` daemons in turn under the load, then waits for one more answer per caller; no request may fail. */
 async function endInTurn (t: ExecutionContext, fleet: Fleet, load: Load, count: number): Promise<void> {
   for (const { child } of fleet.daemons.slice(0, count)) {
     child.signal('SIGTERM')
@@ -84,8 +84,7 @@
   t.deepEqual(load.failures, [])
 }
 
-// Half of the daemons are told to end, one after another, while callers stream from all of them over kept connections
-// and by kept addresses. Ending at once, or closing idle connections at once, cuts those that are just being used.
+// Guards against requests that are cut when a daemon exits, or closes idle connections, while callers still use its address.
 test('half the daemons end one after another under load: no request fails, and each exits with 0', async t => {
   const fleet = await startFleet(t, 4)
   const load = new Load(fleet.url(fleet.daemons[3]!))
@@ -93,8 +92,7 @@
   await endInTurn(t, fleet, load, 2)
 })
 
-// The same with half of six, all engines full of longer streams: a daemon that leaves has many in flight, and what it
-// would have taken goes to the others, which are busy too.
+// The same under full load: a draining daemon has many streams in flight, and the others, which are busy too, receive its callers.
 test('half of six daemons end one after another under full load of streams: no request fails', async t => {
   const fleet = await startFleet(t, 6, 3)
   const callers = 72
@@ -103,8 +101,7 @@
   await endInTurn(t, fleet, load, 3)
 })
 
-// A caller's stream is longer than everything else that a leaving daemon waits for; an idle connection stays open
-// beside it. The daemon must not end before the stream has, and must be gone from the addresses long before.
+// Guards against a daemon that exits before its longest stream has ended, or that stays in the addresses until then.
 test('a drained daemon finishes its longest stream, and is out of all addresses first', async t => {
   const fleet = await startFleet(t, 2)
   const [leaving, staying] = fleet.daemons.map(daemon => fleet.url(daemon))
--- a/test/entry/startup-wait.test.ts
+++ b/test/entry/startup-wait.test.ts
@@ -5,13 +5,13 @@
 interface Case { readonly name: string, readonly knownAt: number, readonly comesAt: number, readonly outcome: { readonly known: boolean, readonly at: number } }
 
 const cases: readonly Case[] = [
-  { name: 'the store answers in a moment: the caller waits for it', knownAt: 90, comesAt: 10, outcome: { known: true, at: 90 } },
-  { name: 'all is known: no wait', knownAt: 90, comesAt: 200, outcome: { known: true, at: 200 } },
-  { name: 'the store is away: the caller is told within the time of a start', knownAt: Infinity, comesAt: 100, outcome: { known: false, at: 600 } },
-  { name: 'it is away for longer: the caller is told at once', knownAt: Infinity, comesAt: 2_000, outcome: { known: false, at: 2_000 } }
+  { name: 'the state loads within the startup time: the request waits for it', knownAt: 90, comesAt: 10, outcome: { known: true, at: 90 } },
+  { name: 'the state has loaded: no wait', knownAt: 90, comesAt: 200, outcome: { known: true, at: 200 } },
+  { name: 'the store is unavailable: the request is refused at the end of the startup time', knownAt: Infinity, comesAt: 100, outcome: { known: false, at: 600 } },
+  { name: 'the startup time has passed: the request is refused at once', knownAt: Infinity, comesAt: 2_000, outcome: { known: false, at: 2_000 } }
 ]
 
-// All daemons have started anew, and their callers come before the store has told them anything.
+// Guards against refusing requests that arrive before the state of a process has loaded, and against holding them during an outage.
 for (const { name, knownAt, comesAt, outcome } of cases) {
   test(name, async t => {
     const clock = new VirtualClock()
@@ -36,9 +36,9 @@
   })
 }
 
-// The store is away while all daemons start anew: a caller that is told to come back in a moment meets the same and has no further try.
+// Guards against callers that use up their retries during an outage because they are told to retry too soon.
 for (const [after, retryAfter] of [[10, 300], [700, 700], [5_000, 2_000]] as const) {
-  test(`${after} ms after the start callers are told to come back in ${retryAfter}`, async t => {
+  test(`${after} ms after the start the retry delay is ${retryAfter} ms`, async t => {
     const clock = new VirtualClock()
     const wait = new StartupWait({ clock, isLoaded: () => false, subscribe: () => () => {} })
     await clock.advance(after)
