--- a/src/entry/caller-connections.ts
+++ b/src/entry/caller-connections.ts
@@ -20,7 +20,7 @@
 interface ConnectionOptions {
   /** Keep-alive timeout announced to callers, s. */
   readonly keepAlive?: number
-  /** While closing: how long a connection must have been idle, ms. Defaults to a little more than the announced timeout. */
+  /** While closing: how long a connection must have been idle, ms. Defaults to 1 s more than `KEEP_ALIVE`. */
   readonly closeIdleAfter?: number
 }
 
@@ -29,7 +29,7 @@
  *
  * Closing an idle keep-alive connection races with a request that its caller may be sending: the request is cut without a response, and the
  * caller can't tell whether it ran. So while closing, responses carry `Connection: close`, and an idle connection is closed only once it has
- * been idle for longer than the announced `Keep-Alive: timeout=5`.
+ * been idle for `closeIdleAfter`, by default a little longer than the announced `Keep-Alive: timeout=5`.
  */
 export class CallerConnections {
   private readonly table = new ConnectionTable<Socket>()
--- a/src/entry/keyed-index.ts
+++ b/src/entry/keyed-index.ts
@@ -52,6 +52,7 @@
     await this.writeNames()
   }
 
+  /** Adds the name of a claim, written with the next flush. */
   add (name: string): void {
     this.names.push(name)
     if (this.names.length === FLUSH_AT) void this.writeNames()
@@ -61,7 +62,7 @@
     const { names } = this
     if (names.length === 0) return
     this.names = []
-    const object = `${this.readDay(0)}/${this.settings.instance}-${this.members.run}-${this.flushes++}`
+    const object = `${this.formatDay(0)}/${this.settings.instance}-${this.members.run}-${this.flushes++}`
     const written = await this.store.put<DayNames>(KIND, object, { names }, 0, 'background')
     if (written.err) this.names = [...names, ...this.names].slice(-FLUSH_AT)
   }
@@ -71,9 +72,9 @@
     if (this.removing || rankOwners(KIND, this.members.owners())[0] !== this.settings.instance) return
     this.removing = true
     const listed = await this.store.list<DayNames>(KIND, { limit: LIST_LIMIT })
-    const kept = this.readDay(1)
+    const oldestKept = this.formatDay(1)
     for (const { name, version, value } of listed.unwrapOr([])) {
-      if (name >= kept) break
+      if (name >= oldestKept) break
       for (const key of value.names) await this.removeKey(key)
       await this.store.delete(KIND, name, version, 'background')
     }
@@ -88,7 +89,8 @@
     await pauseFor(this.clock, REMOVE_PAUSE)
   }
 
-  private readDay (back: number): string {
+  /** Returns the UTC date `back` days ago, as YYYY-MM-DD. */
+  private formatDay (back: number): string {
     return new Date(this.clock.date() - back * DAY).toISOString().slice(0, 10)
   }
 }
--- a/src/entry/routed-entry.ts
+++ b/src/entry/routed-entry.ts
@@ -27,7 +27,7 @@
 import { ResponseSink } from './response-sink.js'
 import type { RoutedSettings } from './routed-settings.js'
 import { sendRoutedRefusal } from './send-routed-refusal.js'
-import { StartupWait } from './startup-wait.js'
+import { StartWait } from './start-wait.js'
 
 const HEADERS_TIMEOUT = 10_000
 const TIMEOUT_CHECK = 1_000
@@ -55,7 +55,7 @@
 export class RoutedEntry implements Part {
   private readonly server: Server
   private readonly connections: CallerConnections
-  private readonly startupWait: StartupWait
+  private readonly startWait: StartWait
   /** By route of the current configuration: the longest timeout that a caller has sent, ms. */
   private readonly longestTimeouts = new WeakMap<Route, number>()
 
@@ -77,7 +77,7 @@
     this.server = createAppServer(app, { headersTimeout: HEADERS_TIMEOUT, connectionsCheckingInterval: TIMEOUT_CHECK, keepAliveTimeout: KEEP_ALIVE_TIMEOUT, maxHeaderSize: MAX_HEADER_BYTES, requestTimeout: 0 })
     this.connections = new CallerConnections(this.server, clock, { keepAlive: KEEP_ALIVE, closeIdleAfter: CLOSE_IDLE_AFTER })
     this.server.on('clientError', (_error, socket) => socket.destroy())
-    this.startupWait = new StartupWait({
+    this.startWait = new StartWait({
       clock,
       isLoaded: () => configuration.value.version > 0 && fleet.hasServers,
       subscribe: listener => {
@@ -126,7 +126,7 @@
   private async serve (req: IncomingMessage, res: ServerResponse, arrived: number): Promise<void> {
     const disconnected = new AbortController()
     res.once('close', () => { if (!res.writableFinished) disconnected.abort() })
-    if (!await this.startupWait.wait() && this.configuration.value.version === 0) return this.refuseUnready(req, res)
+    if (!await this.startWait.wait() && this.configuration.value.version === 0) return this.refuseUnready(req, res)
     const { version, routes = {}, limits } = this.configuration.value
     const call = this.dialect.readJobCall(req)
     if (call !== undefined) return await this.jobs.answer(call, res)
@@ -173,7 +173,7 @@
 
   private refuseUnready (req: IncomingMessage, res: ServerResponse): void {
     req.resume()
-    sendRoutedRefusal(res, { cause: 'platform', ran: 'not run', retryAfter: this.forwarder.random.spread(this.startupWait.retryAfter, NOT_READY_SPREAD), detail: 'this daemon knows no configuration yet' })
+    sendRoutedRefusal(res, { cause: 'platform', ran: 'not run', retryAfter: this.forwarder.random.spread(this.startWait.retryAfter, NOT_READY_SPREAD), detail: 'this daemon knows no configuration yet' })
   }
 }
 
--- a/src/entry/startup-wait.ts
+++ b/src/entry/start-wait.ts
@@ -7,7 +7,7 @@
 const MIN_RETRY = 300
 const MAX_RETRY = 2_000
 
-interface StartupWaitOptions {
+interface StartWaitOptions {
   readonly clock: Clock
   readonly isLoaded: () => boolean
   /** Calls `listener` whenever `isLoaded` may have changed, until the returned function is called. */
@@ -20,11 +20,11 @@
  * After a restart of the whole fleet many callers arrive at processes that have just started. Refusing them for state that loads in a moment
  * would use up their retries. Once the startup time has passed, requests are refused at once.
  */
-export class StartupWait {
+export class StartWait {
   private readonly startedAt: number
   private readonly until: number
 
-  constructor (private readonly options: StartupWaitOptions) {
+  constructor (private readonly options: StartWaitOptions) {
     this.startedAt = options.clock.now()
     this.until = this.startedAt + MAX_STARTUP_WAIT
   }
--- a/src/jobs/job-owner.ts
+++ b/src/jobs/job-owner.ts
@@ -256,6 +256,7 @@
     return { id, host, path, submittedAt, owner: this.settings.instance, run: this.members.run, tokensLeft: job.ended ? 0 : job.tokensLeft, stored: true, closed: job.ended || job.isDone }
   }
 
+  /** Builds the entry for a job that this daemon no longer owns, for others to adopt. */
   private buildReleasedJob (job: OwnedJob): KnownJob {
     return { ...this.buildKnownJob(job), owner: '', run: 0 }
   }
--- a/src/jobs/job-records.ts
+++ b/src/jobs/job-records.ts
@@ -97,6 +97,7 @@
     return read.val.type === 'missing' ? Ok([]) : read
   }
 
+  /** Stores the end of a job by its caller; succeeds where it is stored already. */
   async end (id: string): Promise<Result<void, StoreError>> {
     const ended = await this.createOnce(ENDS, id, true)
     return ended.err && ended.val.type === 'conflict' ? Ok(undefined) : ended
--- a/src/jobs/known-job.ts
+++ b/src/jobs/known-job.ts
@@ -3,7 +3,9 @@
   readonly id: string
   readonly host: string
   readonly path: string
+  /** Wall-clock ms. */
   readonly submittedAt: number
+  /** Name of the owning daemon, empty for none, and when its process started, wall-clock ms. */
   readonly owner: string
   readonly run: number
   /** Tokens of the unfinished items. */
--- a/src/jobs/owned-job.ts
+++ b/src/jobs/owned-job.ts
@@ -33,7 +33,7 @@
   readonly acceptedAt: number
   readonly formerOwner: Pick<KnownJob, 'owner' | 'run'> | undefined
   readonly items: readonly ItemState[]
-  /** Set once the caller has ended the job; none of its items start after that. */
+  /** Set once the end of the job by its caller is known here; none of its items start after that. */
   ended = false
   /** The last read of the store that showed no end of the job. */
   lastRead: LastRead
@@ -73,6 +73,7 @@
     return !this.ended && mayStart(this.lastRead, now, { fresh: MAX_READ_AGE })
   }
 
+  /** Tokens of the unfinished items. */
   get tokensLeft (): number {
     return this.items.reduce((sum, { item, phase }) => sum + (phase === 'ended' ? 0 : item.tokens), 0)
   }
--- a/test/entry/startup-wait.test.ts
+++ b/test/entry/start-wait.test.ts
@@ -1,5 +1,5 @@
 import test from 'ava'
-import { StartupWait } from '../../src/entry/startup-wait.js'
+import { StartWait } from '../../src/entry/start-wait.js'
 import { VirtualClock } from '../helpers/virtual-clock.js'
 
 interface Case { readonly name: string, readonly knownAt: number, readonly comesAt: number, readonly outcome: { readonly known: boolean, readonly at: number } }
@@ -21,7 +21,7 @@
       listeners.add(listener)
       return () => listeners.delete(listener)
     }
-    const wait = new StartupWait({ clock, isLoaded: () => known, subscribe })
+    const wait = new StartWait({ clock, isLoaded: () => known, subscribe })
     if (knownAt < Infinity) {
       clock.after(knownAt, () => {
         known = true
@@ -40,7 +40,7 @@
 for (const [after, retryAfter] of [[10, 300], [700, 700], [5_000, 2_000]] as const) {
   test(`${after} ms after the start the retry delay is ${retryAfter} ms`, async t => {
     const clock = new VirtualClock()
-    const wait = new StartupWait({ clock, isLoaded: () => false, subscribe: () => () => {} })
+    const wait = new StartWait({ clock, isLoaded: () => false, subscribe: () => () => {} })
     await clock.advance(after)
     t.is(wait.retryAfter, retryAfter)
   })
