--- a/src/entry/keyed-requests.ts
+++ b/src/entry/keyed-requests.ts
@@ -21,24 +21,24 @@
 import { KeyedIndex } from './keyed-index.js'
 import type { KeyedOutcome } from './keyed-outcome.js'
 
-/** Longest answer that is recorded, in bytes: base64 and the rest stay under the 1 MB of a value. */
-const KEPT_BYTES = 512_000
+/** Longest recorded answer, bytes: in base64 and with the rest of the claim it stays under the 1 MB limit of a stored value. */
+const MAX_RECORDED_BYTES = 512_000
 const RETRY_AFTER = 2_000
-/** How long a request with a key in progress is held for its outcome, ms. */
-const WAIT = 10_000
+/** How long a request waits for the outcome of a run in progress under its key, ms. */
+const MAX_WAIT = 10_000
 const FIRST_POLL = 100
-const LAST_POLL = 1_000
+const MAX_POLL = 1_000
 
 type Settlement = Parameters<KeyedClaims['settle']>[1]
-type StandingClaim = Parameters<KeyedClaims['settle']>[0]
+type StoredClaim = Parameters<KeyedClaims['settle']>[0]
 
-/** Runs requests that carry a key: each key of a caller at most once, whichever daemons it is sent through. */
+/** Runs requests that carry an idempotency key: at most once for each key of a caller, whichever daemons receive it. */
 @scoped(Lifecycle.ContainerScoped)
 export class KeyedRequests {
   private readonly run: number
-  /** Ids of claims whose request may have been sent by this process. */
+  /** Ids of unsettled claims whose request this process may have sent. */
   private readonly sent = new Set<string>()
-  /** What is running here, by the claim's name. */
+  /** Requests running in this process, by the claim's name. */
   private readonly running = new Map<string, Promise<unknown>>()
 
   constructor (
@@ -54,21 +54,21 @@
     this.run = members.run
   }
 
-  /** `request.signal` is left out of account: the caller may come back with its key for the answer. */
+  /** Runs the request or returns the outcome of its key. Ignores `request.signal`: a disconnected caller may ask for the answer again. */
   async send (request: ServerRequest, key: string): Promise<KeyedOutcome> {
     const name = hash(request.caller, key)
     const fingerprint = hash(request.service, request.method, request.path, request.body ?? '')
-    const end = Math.min(request.deadline, this.clock.now() + WAIT)
-    for (let pause = FIRST_POLL, version = 0; ; pause = Math.min(LAST_POLL, pause * 2)) {
+    const end = Math.min(request.deadline, this.clock.now() + MAX_WAIT)
+    for (let pause = FIRST_POLL, version = 0; ; pause = Math.min(MAX_POLL, pause * 2)) {
       if (version >= 0 && !this.running.has(name)) {
         const claimed = await this.begin(name, this.buildClaim(request, fingerprint), version, request)
         if (claimed !== 'taken') return claimed
       }
       await this.wait(this.running.get(name), end - this.clock.now())
-      const next = await this.follow(name, fingerprint)
+      const next = await this.resolveClaim(name, fingerprint)
       if (typeof next === 'object') return next
       version = next
-      // At once the first time only: an old read may go on calling free what a write finds taken.
+      // Retries without a delay only once: a stale read may keep showing the key as free while writes find it taken.
       if (version >= 0 && !this.running.has(name) && pause === FIRST_POLL) continue
       if (this.clock.now() >= end) return { type: 'in progress' }
       await this.wait('time', Math.min(pause, end - this.clock.now()))
@@ -80,7 +80,7 @@
     return { id: randomUUID(), holder: this.settings.instance, run: this.run, fingerprint, at, until: at + deadline - this.clock.now(), outcome: { type: 'open' } }
   }
 
-  /** Claims the key and runs the request, or says that the key is taken. */
+  /** Claims the key and runs the request; returns 'taken' where another claim exists. */
   private async begin (name: string, claim: KeyedClaim, version: number, request: ServerRequest): Promise<KeyedOutcome | 'taken'> {
     const running = this.claimAndRun(name, claim, version, request)
     this.running.set(name, running)
@@ -96,54 +96,54 @@
     if (created.err) return created.val.type === 'conflict' ? 'taken' : this.refuse(created.val)
     this.index.add(name)
     this.timeline.record({ part: 'entry', what: 'key claimed', request: request.id })
-    // A process that stood still between its claim and here would send long after its caller was told the end.
+    // A process that was paused since the claim must not send the request after its caller has timed out.
     if (this.clock.now() >= request.deadline) {
       await this.claims.settle(created.val, 'release')
       return { type: 'refused', refusal: { cause: 'deadline', ran: 'not run', retryAfter: this.random.spread(RETRY_AFTER), detail: 'the deadline passed before it was sent' } }
     }
     this.sent.add(claim.id)
     const answer = await this.gate.send({ ...request, idempotent: false, signal: undefined })
-    return answer.ok ? await this.takeAnswer(created.val, answer.val) : await this.takeRefusal(created.val, answer.val)
+    return answer.ok ? await this.settleAnswer(created.val, answer.val) : await this.settleRefusal(created.val, answer.val)
   }
 
-  /** Forgets that it was sent once that is on record. */
-  private async settle (standing: StandingClaim, settlement: Settlement): Promise<void> {
-    if (await this.claims.settle(standing, settlement)) this.sent.delete(standing.claim.id)
+  /** Settles the claim, and drops the record that its request was sent once the outcome is stored. */
+  private async settle (stored: StoredClaim, settlement: Settlement): Promise<void> {
+    if (await this.claims.settle(stored, settlement)) this.sent.delete(stored.claim.id)
   }
 
-  private async takeRefusal (standing: StandingClaim, refusal: Refusal): Promise<KeyedOutcome> {
+  private async settleRefusal (stored: StoredClaim, refusal: Refusal): Promise<KeyedOutcome> {
     if (refusal.ran === 'unknown') {
-      await this.settle(standing, { type: 'unknown', cause: refusal.detail })
+      await this.settle(stored, { type: 'unknown', cause: refusal.detail })
       return { type: 'unknown', cause: refusal.detail }
     }
-    this.sent.delete(standing.claim.id)
-    await this.settle(standing, 'release')
+    this.sent.delete(stored.claim.id)
+    await this.settle(stored, 'release')
     return { type: 'refused', refusal }
   }
 
-  /** Records the answer, then gives it: one who asks again gets the same. One that is cut ends as unknown. */
-  private async takeAnswer (standing: StandingClaim, answer: ServerAnswer): Promise<KeyedOutcome> {
-    const collected = await readAnswer(answer, KEPT_BYTES)
+  /** Records the answer before returning it, so that a repeated request gets the same one. A cut answer ends as unknown. */
+  private async settleAnswer (stored: StoredClaim, answer: ServerAnswer): Promise<KeyedOutcome> {
+    const collected = await readAnswer(answer, MAX_RECORDED_BYTES)
     if (collected.type === 'cut') {
       const cause = 'its answer was cut'
-      await this.settle(standing, { type: 'unknown', cause })
+      await this.settle(stored, { type: 'unknown', cause })
       return { type: 'unknown', cause }
     }
     const { status, headers: { 'content-type': type } } = answer
     const contentType = type === undefined ? undefined : String(type)
     const body = collected.type === 'whole' ? collected.body.toString('base64') : undefined
-    await this.settle(standing, { type: 'answered', status, contentType, body })
+    await this.settle(stored, { type: 'answered', status, contentType, body })
     return { type: 'answered', status, contentType, body: collected.body, replayed: false, run: answer }
   }
 
-  /** What a claim that stands comes to; else the version to take it at, or -1 to wait for it. */
-  private async follow (name: string, fingerprint: string): Promise<KeyedOutcome | number> {
+  /** Returns the outcome of the stored claim, the version at which to take the key, or -1 to wait. */
+  private async resolveClaim (name: string, fingerprint: string): Promise<KeyedOutcome | number> {
     const read = await this.claims.read(name)
     if (read.err) return read.val.type === 'missing' ? 0 : this.refuse(read.val)
     const claim = read.val.value
     const own = claim.holder === this.settings.instance && claim.run === this.run
     const ownUnsent = own && !this.sent.has(claim.id) && !this.running.has(name)
-    const decision = planClaim(claim, { now: this.clock.date(), fingerprint, holderGone: !own && this.isGone(claim), ownUnsent })
+    const decision = planClaim(claim, { now: this.clock.date(), fingerprint, holderGone: !own && this.isHolderGone(claim), ownUnsent })
     switch (decision) {
       case 'take': return read.val.version
       case 'wait': return -1
@@ -159,8 +159,8 @@
     return ended ? { type: 'unknown', cause: 'the daemon that sent it is gone' } : -1
   }
 
-  /** Never right after a start or a pause, when this daemon has heard from nobody yet. */
-  private isGone ({ holder, run }: KeyedClaim): boolean {
+  /** Whether the holder's process has ended; false while this daemon has no members yet, right after a start or a pause. */
+  private isHolderGone ({ holder, run }: KeyedClaim): boolean {
     if (this.members.owners().length === 0) return false
     const member = this.members.all().find(({ instance }) => instance.name === holder)
     return member === undefined || (member.run > 0 && member.run !== run)
@@ -171,7 +171,7 @@
     return { type: 'refused', refusal: { cause: 'platform', ran: 'not run', retryAfter: this.random.spread(retryAfter), detail: 'the key could not be claimed at the platform; nothing was sent' } }
   }
 
-  /** Waits for `time` ms or, where the request runs here, for its end; not at all where that has come. */
+  /** Waits for `time` ms, or less if the given run ends sooner; returns at once where no run is given. */
   private async wait (running: Promise<unknown> | undefined | 'time', time: number): Promise<void> {
     if (running === undefined) return
     const timer = pauseFor(this.clock, time)
--- a/src/jobs/item-run.ts
+++ b/src/jobs/item-run.ts
@@ -9,20 +9,20 @@
 import type { ItemOutcome } from './item-outcome.js'
 import type { ItemState } from './item-state.js'
 
-/** Longest silence before the first event and between two, ms; a slow server takes a few hundred. */
-const FIRST_PATIENCE = 1_500
-const BETWEEN_PATIENCE = 1_000
+/** Timeouts until the first event and between two events, ms. */
+const FIRST_EVENT_TIMEOUT = 1_500
+const EVENT_TIMEOUT = 1_000
 const DEADLINE = 600_000
-const IMPOSSIBLE = 422
+const UNPROCESSABLE = 422
 const SERVER_ERROR = 500
-const REDIRECTED = 300
+const FIRST_REDIRECTION = 300
 
 interface ItemRunOptions {
   readonly state: ItemState
   readonly host: string
   readonly pool: string
   readonly server: string
-  /** Whether it may still begin, asked as its first byte leaves. */
+  /** Checked immediately before the first byte is sent; where it returns false, nothing is sent. */
   readonly mayStart: () => boolean
   readonly clock: Clock
   readonly sender: Sender
@@ -30,7 +30,7 @@
   readonly dialect: ServerDialect
 }
 
-/** One run of an item on one server, which goes on behind the last event of the run before and can be stopped at any time. */
+/** One run of an item on one server. It resumes after the last event of the previous run and can be stopped at any time. */
 export class ItemRun {
   private readonly abort = new AbortController()
 
@@ -47,7 +47,7 @@
   async run (): Promise<ItemOutcome> {
     const { state: { item, last }, host, pool, server, clock, sender, servers, dialect, mayStart } = this.options
     const target = servers.find(server)
-    if (target === undefined) return { type: 'lost', detail: 'the server has gone' }
+    if (target === undefined) return { type: 'lost', detail: 'the server is unknown' }
     const headers = Object.fromEntries(Object.entries(item.headers).map(([name, value]) => [name.toLowerCase(), value]))
     const body = Buffer.from(item.body, 'base64')
     const opened = await sender.send(target, {
@@ -66,8 +66,8 @@
       signal: this.abort.signal,
       paced: true,
       mayStart
-    }, { body, fingerprint: item.id, headerTimeout: FIRST_PATIENCE })
-    if (opened.err) return opened.val.why === 'withheld' && !this.abort.signal.aborted ? { type: 'withheld' } : this.showLoss(opened.val.detail)
+    }, { body, fingerprint: item.id, headerTimeout: FIRST_EVENT_TIMEOUT })
+    if (opened.err) return opened.val.why === 'withheld' && !this.abort.signal.aborted ? { type: 'withheld' } : this.describeLoss(opened.val.detail)
     return await this.read(opened.val)
   }
 
@@ -75,24 +75,24 @@
     const { status, headers } = open.exchange
     const { dialect, state: { item } } = this.options
     const id = dialect.readRequestId(headers)
-    if (id !== undefined && id !== item.id) return this.fail(open, `the answer belongs to ${id}`)
-    if (status < REDIRECTED && open.exchange.isStream()) return await this.readEvents(open)
+    if (id !== undefined && id !== item.id) return this.fail(open, `the response belongs to request ${id}`)
+    if (status < FIRST_REDIRECTION && open.exchange.isStream()) return await this.readEvents(open)
     const isNotRun = dialect.isNotRun(status, headers)
-    const body = await readToEnd(open.exchange, () => BETWEEN_PATIENCE)
+    const body = await readToEnd(open.exchange, () => EVENT_TIMEOUT)
     open.end(body.ok ? 'answered' : 'abandoned')
     if (isNotRun) return { type: 'refused' }
-    if (status === IMPOSSIBLE) return { type: 'impossible' }
+    if (status === UNPROCESSABLE) return { type: 'impossible' }
     return status === SERVER_ERROR ? { type: 'failed' } : { type: 'lost', detail: `status ${status}` }
   }
 
   private async readEvents (open: OpenExchange): Promise<ItemOutcome> {
     const { state } = this.options
-    const cutter = new SseSplitter()
-    for (let patience = FIRST_PATIENCE; ; patience = BETWEEN_PATIENCE) {
-      const bytes = await open.exchange.read(patience)
+    const splitter = new SseSplitter()
+    for (let timeout = FIRST_EVENT_TIMEOUT; ; timeout = EVENT_TIMEOUT) {
+      const bytes = await open.exchange.read(timeout)
       if (bytes.err) return this.fail(open, bytes.val.detail)
       if (bytes.val === undefined) break
-      for (const { id, data } of cutter.push(bytes.val)) {
+      for (const { id, data } of splitter.push(bytes.val)) {
         const step = stepEventProgress({ last: state.last }, id)
         if (step.type === 'gap') return this.fail(open, `event ${id} after ${state.last}`)
         if (step.type === 'known') continue
@@ -101,17 +101,17 @@
         state.losses = 0
       }
     }
-    if (!cutter.isAtBoundary) return this.fail(open, 'it ended within an event')
+    if (!splitter.isAtBoundary) return this.fail(open, 'the stream ended within an event')
     open.end('answered')
     return { type: 'completed' }
   }
 
   private fail (open: OpenExchange, detail: string): ItemOutcome {
     void open.fail({ why: this.abort.signal.aborted ? 'abandoned' : 'cut', sent: true, detail })
-    return this.showLoss(detail)
+    return this.describeLoss(detail)
   }
 
-  private showLoss (detail: string): ItemOutcome {
+  private describeLoss (detail: string): ItemOutcome {
     return this.abort.signal.aborted ? { type: 'stopped' } : { type: 'lost', detail }
   }
 }
--- a/src/jobs/job-owner.ts
+++ b/src/jobs/job-owner.ts
@@ -14,10 +14,10 @@
 import { PeerLinks } from '../peers/peer-links.js'
 import type { PeerMessage } from '../peers/peer-message.js'
 import type { StoreError } from '../store/store-error.js'
-import { countUnnoted } from './count-unnoted.js'
+import { countUnsavedEvents } from './count-unsaved-events.js'
 import { JobRegistry } from './job-registry.js'
 import type { ItemProgress } from './item-progress.js'
-import type { JobHead } from './job-head.js'
+import type { JobHeader } from './job-header.js'
 import type { JobItem } from './job-item.js'
 import { JobRecords } from './job-records.js'
 import { JobRunner } from './job-runner.js'
@@ -28,22 +28,22 @@
 import { splitProgress } from './split-progress.js'
 
 const PROGRESS_MESSAGE = 'job progress'
-/** Least time between two words of how much of a job is left, ms. */
+/** Minimum time between two publications of how much of a job is left, ms. */
 const PROGRESS_PERIOD = 2_000
-/** How long a shutdown waits for results to be stored, and how often it looks, ms. */
+/** How long a shutdown waits for results to be stored, and how often it checks, ms. */
 const STORE_WAIT = 1_500
 const STORE_CHECK = 100
 
 /**
- * The jobs that this daemon owns: those it accepted, and those whose owner has ended. Who takes over follows by rank; that
- * two may do so for a while costs runs and breaks nothing, because segments of results are created once.
+ * The jobs that this daemon owns: those that it accepted, and those that it took over from a daemon that has ended. The successor is determined
+ * by rank. Two daemons may own a job for a while: some items then run twice, but results stay consistent because each segment is created once.
  */
 @scoped(Lifecycle.ContainerScoped)
 export class JobOwner implements Part {
-  readonly extensions = [peerHandlerPoint.of({ type: PROGRESS_MESSAGE, handle: message => this.takeProgress(message) })]
+  readonly extensions = [peerHandlerPoint.of({ type: PROGRESS_MESSAGE, handle: message => this.receiveProgress(message) })]
   private readonly owned = new Map<string, OwnedJob>()
-  /** By job: how far its items had come at the daemon that let go of it, until it is taken over here. */
-  private readonly handed = new Map<string, readonly ItemProgress[]>()
+  /** By job that is about to be taken over here: the progress of its items received from the previous owner. */
+  private readonly handedOver = new Map<string, readonly ItemProgress[]>()
   private readonly adopting = new Set<string>()
   private readonly writer: ResultWriter
   private draining = false
@@ -51,7 +51,7 @@
   constructor (
     @inject(JobRecords) private readonly records: JobRecords,
     @inject(JobRunner) private readonly runner: JobRunner,
-    @inject(JobRegistry) private readonly book: JobRegistry,
+    @inject(JobRegistry) private readonly registry: JobRegistry,
     @inject(Members) private readonly members: Members,
     @inject(PeerLinks) private readonly links: Pick<PeerLinks, 'send'>,
     @inject(PauseWatch) private readonly pauses: Pick<PauseWatch, 'check' | 'count'>,
@@ -71,10 +71,10 @@
 
   async start (): Promise<void> {
     this.runner.subscribe(job => { void this.writer.store(job) })
-    this.book.subscribe(({ id, closed }) => { if (closed) this.handleClosed(id) })
+    this.registry.subscribe(({ id, closed }) => { if (closed) this.handleClosed(id) })
   }
 
-  /** Stores what there is and lets go of every job, so that others take them over at once. */
+  /** Stores the pending results and releases every job, so that other daemons take them over at once. */
   async drain (): Promise<void> {
     this.draining = true
     const end = this.clock.now() + STORE_WAIT
@@ -86,14 +86,14 @@
       this.runner.remove(job)
       this.owned.delete(job.id)
       this.handOver(job)
-      this.book.tell(this.showReleased(job))
-      job.wake()
+      this.registry.publish(this.buildReleasedJob(job))
+      job.notify()
     }
   }
 
   /**
-   * Tells the daemon that will take the job over how far its items have come. Without that, instances that are restarted in
-   * turn make an item of some seconds begin anew at each, and a job of a quarter of a minute comes late.
+   * Sends the progress of a job's items to the daemon that will take it over. Otherwise a rolling restart makes a long item start from its
+   * beginning on each instance in turn.
    */
   private handOver (job: OwnedJob): void {
     const [next] = rankOwners(job.id, this.members.owners().filter(name => name !== this.settings.instance))
@@ -104,12 +104,12 @@
     for (const progress of splitProgress(job.copyProgress())) this.links.send(to, { type: PROGRESS_MESSAGE, job: job.id, progress })
   }
 
-  private takeProgress ({ job, progress }: PeerMessage): void {
+  private receiveProgress ({ job, progress }: PeerMessage): void {
     if (!Array.isArray(progress)) return
     const id = String(job)
     const owned = this.owned.get(id)
-    if (owned !== undefined) owned.useProgress(progress as readonly ItemProgress[])
-    else this.handed.set(id, [...this.handed.get(id) ?? [], ...progress as readonly ItemProgress[]])
+    if (owned !== undefined) owned.applyProgress(progress as readonly ItemProgress[])
+    else this.handedOver.set(id, [...this.handedOver.get(id) ?? [], ...progress as readonly ItemProgress[]])
   }
 
   find (id: string): OwnedJob | undefined {
@@ -120,33 +120,33 @@
     return [...this.owned.values()]
   }
 
-  /** Lets go of a job that another daemon runs, and tells it how far the items have come here. */
-  giveWay (job: OwnedJob, to: string): void {
+  /** Releases a job to another daemon that owns it too, and sends that one the progress of its items here. */
+  releaseTo (job: OwnedJob, to: string): void {
     this.runner.remove(job)
     this.owned.delete(job.id)
     this.sendProgress(job, to)
-    job.wake()
+    job.notify()
   }
 
   /**
-   * Whether what is known here of a job's results can't be behind what callers have read. Where another daemon may own the job
-   * too, the store is asked first: without that, an owner that stood still lists nothing where the other one's results were read.
+   * Ensures that the job's results here include all that callers may have read from another owner. The results of a contested job are read from
+   * the store first; otherwise an owner that was paused would list fewer results than the other one did. Returns false where the store fails.
    */
-  async prove (job: OwnedJob): Promise<boolean> {
-    return this.clock.now() >= job.doubtfulUntil || await this.writer.readNew(job)
+  async ensureCurrent (job: OwnedJob): Promise<boolean> {
+    return this.clock.now() >= job.contestedUntil || await this.writer.readNew(job)
   }
 
-  /** Accepts a job: once this is `Ok` it is kept. `conflict` says that it was accepted before. */
-  async accept (id: string, job: Pick<JobHead, 'host' | 'path'>, items: readonly JobItem[]): Promise<Result<void, StoreError>> {
+  /** Accepts a job. `Ok` means that it is stored durably, `conflict` that it was accepted before. */
+  async accept (id: string, job: Pick<JobHeader, 'host' | 'path'>, items: readonly JobItem[]): Promise<Result<void, StoreError>> {
     const { instance: owner } = this.settings
-    const findOpenAt = this.beginLook()
-    const head = { ...job, submittedAt: this.clock.date(), total: items.length, tokens: items.reduce((sum, { tokens }) => sum + tokens, 0), owner, run: this.members.run }
-    const created = await this.records.create(id, head, items)
-    if (created.ok) this.own(new OwnedJob({ id, head: { ...head, parts: 0 }, items, segments: [], acceptedAt: this.clock.now(), openAt: findOpenAt() }))
+    const findReadAt = this.beginRead()
+    const header = { ...job, submittedAt: this.clock.date(), total: items.length, tokens: items.reduce((sum, { tokens }) => sum + tokens, 0), owner, run: this.members.run }
+    const created = await this.records.create(id, header, items)
+    if (created.ok) this.addOwned(new OwnedJob({ id, header: { ...header, parts: 0 }, items, segments: [], acceptedAt: this.clock.now(), readAt: findReadAt() }))
     return created
   }
 
-  /** Takes over a job whose head is stored. */
+  /** Takes over a job whose header is stored. */
   async adopt (id: string): Promise<Result<OwnedJob | undefined, StoreError>> {
     const known = this.owned.get(id)
     if (known !== undefined || this.adopting.has(id) || this.draining) return Ok(known)
@@ -158,19 +158,17 @@
     }
   }
 
-  /** Its caller has ended it: nothing of it runs from here on. */
+  /** Stops a job that its caller has ended; none of its items start from here on. */
   end (id: string): void {
     const job = this.owned.get(id)
     if (job === undefined) return
-    if (!job.ended) this.log.write('info', 'jobs', 'stopped an ended job', { job: id, results: job.readPage(0).next, of: job.head.total })
+    if (!job.ended) this.log.write('info', 'jobs', 'stopped an ended job', { job: id, results: job.readPage(0).next, of: job.header.total })
     job.ended = true
     this.close(job)
   }
 
-  /**
-   * Ends a job at once if the store says that its caller has ended it. Where the store doesn't answer, `EndWatch` sees it later.
-   */
-  async checkEnd (id: string): Promise<void> {
+  /** Stops a job at once if its end is stored. Where the store doesn't answer, `EndedJobWatch` finds it later. */
+  async checkEnded (id: string): Promise<void> {
     if (!this.isRunning(id)) return
     const ended = await this.records.isEnded(id)
     if (ended.ok && ended.val) this.end(id)
@@ -181,21 +179,21 @@
     return job !== undefined && !job.ended && !job.isDone
   }
 
-  /** Holds nothing of a job any more, which is no longer stored. */
+  /** Drops a job that is no longer stored. */
   forget (id: string): void {
     const job = this.owned.get(id)
     if (job !== undefined) this.runner.remove(job)
     this.owned.delete(id)
-    this.handed.delete(id)
+    this.handedOver.delete(id)
   }
 
-  /** Whether the daemon that owns the job is alive, in the same life. */
+  /** Whether the process that owns the job is alive; a restarted daemon is another process. */
   isOwnerAlive ({ owner, run }: Pick<KnownJob, 'owner' | 'run'>): boolean {
     return this.members.all().some(member => member.instance.name === owner && member.run === run && member.state !== 'leaving')
   }
 
-  /** Gives the moment of this call as long as the process hasn't stood still since: what the store says later holds for it. */
-  private beginLook (): () => number | undefined {
+  /** Returns a function that returns the time of this call, from which the reads that follow count; undefined after a pause of the process. */
+  private beginRead (): () => number | undefined {
     const { count } = this.pauses
     const began = this.clock.now()
     return () => {
@@ -205,80 +203,81 @@
   }
 
   private async load (id: string): Promise<Result<OwnedJob | undefined, StoreError>> {
-    const findOpenAt = this.beginLook()
-    const head = await this.records.readHead(id)
-    if (head.err) return head
+    const findReadAt = this.beginRead()
+    const header = await this.records.readHeader(id)
+    if (header.err) return header
     const segments = await this.records.readSegments(id)
     if (segments.err) return segments
-    if (segments.val.flat().length >= head.val.total) return Ok(this.ownDone(id, head.val, segments.val))
-    const [items, ended, noted] = await Promise.all([this.records.readItems(id, head.val), this.records.isEnded(id), this.records.readProgress(id)])
+    if (segments.val.flat().length >= header.val.total) return Ok(this.addDone(id, header.val, segments.val))
+    const [items, ended, checkpoint] = await Promise.all([this.records.readItems(id, header.val), this.records.isEnded(id), this.records.readProgress(id)])
     if (items.err) return items
     if (ended.err) return ended
-    if (noted.err) return noted
-    const age = Math.max(0, this.clock.date() - head.val.submittedAt)
-    const job = new OwnedJob({ id, head: head.val, items: items.val, segments: segments.val, acceptedAt: this.clock.now() - age, openAt: findOpenAt(), former: this.book.get(id) ?? head.val })
+    if (checkpoint.err) return checkpoint
+    const age = Math.max(0, this.clock.date() - header.val.submittedAt)
+    const job = new OwnedJob({ id, header: header.val, items: items.val, segments: segments.val, acceptedAt: this.clock.now() - age, readAt: findReadAt(), formerOwner: this.registry.get(id) ?? header.val })
     job.ended = ended.val
-    job.useProgress(noted.val)
-    job.useProgress(this.handed.get(id) ?? [])
-    this.handed.delete(id)
-    this.log.write('info', 'jobs', 'took a job over', { job: id, from: head.val.owner, age, results: job.readPage(0).next, of: head.val.total, events: countUnnoted(job.items, []), ended: job.ended })
-    const isClosed = this.book.get(id)?.closed === true
-    this.own(job)
+    job.applyProgress(checkpoint.val)
+    job.applyProgress(this.handedOver.get(id) ?? [])
+    this.handedOver.delete(id)
+    this.log.write('info', 'jobs', 'took a job over', { job: id, from: header.val.owner, age, results: job.readPage(0).next, of: header.val.total, events: countUnsavedEvents(job.items, []), ended: job.ended })
+    const isClosed = this.registry.get(id)?.closed === true
+    this.addOwned(job)
     if (job.ended) this.close(job)
-    else if (isClosed) void this.checkEnd(id)
+    else if (isClosed) void this.checkEnded(id)
     return Ok(job)
   }
 
-  /** A job whose results are all stored is kept for those who read it, without its items, which are most of what there is to read. */
-  private ownDone (id: string, head: JobHead, segments: ReadonlyArray<readonly ListedResult[]>): OwnedJob {
-    const job = new OwnedJob({ id, head, items: [], segments, acceptedAt: this.clock.now() })
-    this.handed.delete(id)
-    this.own(job)
+  /** Adds a finished job for its readers. Its items are most of its data and aren't loaded. */
+  private addDone (id: string, header: JobHeader, segments: ReadonlyArray<readonly ListedResult[]>): OwnedJob {
+    const job = new OwnedJob({ id, header, items: [], segments, acceptedAt: this.clock.now() })
+    this.handedOver.delete(id)
+    this.addOwned(job)
     this.close(job)
     return job
   }
 
-  /** One that leaves accepts jobs to its end, for others to run: they hear at once that nobody owns it. */
-  private own (job: OwnedJob): void {
-    if (this.draining) return this.book.tell(this.showReleased(job))
+  /** Adds a job. While draining, this daemon still accepts jobs but publishes them without an owner, for other daemons to run. */
+  private addOwned (job: OwnedJob): void {
+    if (this.draining) return this.registry.publish(this.buildReleasedJob(job))
     this.owned.set(job.id, job)
     this.runner.add(job)
-    this.book.tell(this.show(job))
+    this.registry.publish(this.buildKnownJob(job))
   }
 
   private close (job: OwnedJob): void {
     this.runner.remove(job)
-    this.book.tell(this.show(job))
-    job.wake()
+    this.registry.publish(this.buildKnownJob(job))
+    job.notify()
   }
 
-  /** What the others are told of a job that this daemon owns. */
-  show (job: OwnedJob): KnownJob {
-    const { id, head: { host, path, submittedAt } } = job
+  /** Builds the entry that this daemon publishes for a job that it owns. */
+  buildKnownJob (job: OwnedJob): KnownJob {
+    const { id, header: { host, path, submittedAt } } = job
     return { id, host, path, submittedAt, owner: this.settings.instance, run: this.members.run, tokensLeft: job.ended ? 0 : job.tokensLeft, stored: true, closed: job.ended || job.isDone }
   }
 
-  private showReleased (job: OwnedJob): KnownJob {
-    return { ...this.show(job), owner: '', run: 0 }
+  /** Builds the entry for a job that this daemon no longer owns, for others to adopt. */
+  private buildReleasedJob (job: OwnedJob): KnownJob {
+    return { ...this.buildKnownJob(job), owner: '', run: 0 }
   }
 
-  /** Another daemon says that the job is closed; only its end, or all of its results, make that so. */
+  /** Handles a published closing of a job: the job stops here only if its end is stored. */
   private handleClosed (id: string): void {
-    this.handed.delete(id)
-    if (this.isRunning(id)) void this.checkEnd(id)
+    this.handedOver.delete(id)
+    if (this.isRunning(id)) void this.checkEnded(id)
   }
 
   private handleStored (job: OwnedJob): void {
     if (job.isDone) this.close(job)
-    else this.tellProgress(job)
+    else this.publishProgress(job)
   }
 
-  /** How much of it is left matters to what may wait on its route, and to nobody at once. */
-  private tellProgress (job: OwnedJob): void {
+  /** Publishes how much of the job is left, which counts against the token limit of its route and isn't urgent. */
+  private publishProgress (job: OwnedJob): void {
     const now = this.clock.now()
-    if (now < job.toldAt + PROGRESS_PERIOD) return
-    job.toldAt = now
-    this.book.tell(this.show(job))
+    if (now < job.publishedAt + PROGRESS_PERIOD) return
+    job.publishedAt = now
+    this.registry.publish(this.buildKnownJob(job))
   }
 }
 
--- a/src/jobs/owned-job.ts
+++ b/src/jobs/owned-job.ts
@@ -3,61 +3,61 @@
 import type { ItemProgress } from './item-progress.js'
 import type { ListedResult } from './listed-result.js'
 import type { ItemState } from './item-state.js'
-import type { JobHead } from './job-head.js'
+import type { JobHeader } from './job-header.js'
 import type { JobItem } from './job-item.js'
 import type { KnownJob } from './known-job.js'
 import type { ResultsPage } from './results-page.js'
 
-/** Bytes of results in one answer. */
+/** Maximum size of one page of results, in bytes. */
 const PAGE_BYTES = 500_000
-/** Oldest look at whether it has ended with which its items start, ms: callers are promised that none runs 3 s after an end. */
-const FRESH_LOOK = 2_500
+/** Age in ms up to which a read of the store lets items start: callers are promised that none runs 3 s after the job was ended. */
+const MAX_READ_AGE = 2_500
 
 interface OwnedJobOptions {
   readonly id: string
-  readonly head: JobHead
+  readonly header: JobHeader
   readonly items: readonly JobItem[]
   readonly segments: ReadonlyArray<readonly ListedResult[]>
-  /** Monotonic ms of its acceptance. */
+  /** Time of acceptance, monotonic ms. */
   readonly acceptedAt: number
-  /** Monotonic ms at which the store knew of no end of it. */
-  readonly openAt?: number
-  /** From whom it was taken over, in the life in which that one had it. */
-  readonly former?: Pick<KnownJob, 'owner' | 'run'>
+  /** When the store held no end of the job, monotonic ms. */
+  readonly readAt?: number
+  /** The daemon that it was taken over from, with the process that owned it. */
+  readonly formerOwner?: Pick<KnownJob, 'owner' | 'run'>
 }
 
-/** A job that this daemon runs: its items, and the results that are stored or wait to be. */
+/** A job that this daemon owns: its items, its stored results and those still to be stored. */
 export class OwnedJob {
   readonly id: string
-  readonly head: JobHead
+  readonly header: JobHeader
   readonly acceptedAt: number
-  readonly former: Pick<KnownJob, 'owner' | 'run'> | undefined
+  readonly formerOwner: Pick<KnownJob, 'owner' | 'run'> | undefined
   readonly items: readonly ItemState[]
-  /** Set when its caller ended it: nothing of it runs any more. */
+  /** Set once the end of the job by its caller is known here; none of its items start after that. */
   ended = false
-  /** When the store was last seen to know of no end of it. */
-  look: LastRead
-  /** Whether a segment of its results is being stored, and when the last was begun; monotonic ms. */
+  /** The last read of the store that showed no end of the job. */
+  lastRead: LastRead
+  /** Whether a segment of results is being stored, and when the last write began, monotonic ms. */
   isStoring = false
   storedAt = -Infinity
-  /** Monotonic ms at which the others were last told how much of it is left. */
-  toldAt = -Infinity
-  /** Until when another daemon may own it too and have stored results that aren't known here, monotonic ms. */
-  doubtfulUntil = -Infinity
-  /** Results that aren't stored yet. */
+  /** When the progress was last published, monotonic ms. */
+  publishedAt = -Infinity
+  /** Until when another daemon may own the job too and have stored results that are missing here, monotonic ms. */
+  contestedUntil = -Infinity
+  /** Results still to be stored. */
   readonly pending: ListedResult[] = []
-  /** Stored segments of results. */
+  /** Number of stored segments. */
   segments: number
   private readonly results: ListedResult[]
   private readonly listed: Set<string>
-  private readonly readers = new Set<() => void>()
+  private readonly listeners = new Set<() => void>()
 
-  constructor ({ id, head, items, segments, acceptedAt, openAt, former }: OwnedJobOptions) {
+  constructor ({ id, header, items, segments, acceptedAt, readAt, formerOwner }: OwnedJobOptions) {
     this.id = id
-    this.head = head
+    this.header = header
     this.acceptedAt = acceptedAt
-    this.former = former
-    this.look = { seen: openAt, unreachable: false }
+    this.formerOwner = formerOwner
+    this.lastRead = { seen: readAt, unreachable: false }
     this.segments = segments.length
     this.results = segments.flat()
     this.listed = new Set(this.results.map(result => result.id))
@@ -65,14 +65,15 @@
   }
 
   get isDone (): boolean {
-    return this.results.length >= this.head.total
+    return this.results.length >= this.header.total
   }
 
-  /** Whether its items may run now, monotonic ms: only as long as it is known not to have been ended. */
+  /** Whether items may start at `now`, monotonic ms: only while a recent read has shown that the job was not ended. */
   mayStart (now: number): boolean {
-    return !this.ended && mayStart(this.look, now, { fresh: FRESH_LOOK })
+    return !this.ended && mayStart(this.lastRead, now, { fresh: MAX_READ_AGE })
   }
 
+  /** Tokens of the unfinished items. */
   get tokensLeft (): number {
     return this.items.reduce((sum, { item, phase }) => sum + (phase === 'ended' ? 0 : item.tokens), 0)
   }
@@ -81,13 +82,13 @@
     return this.items.find(({ item: { id } }) => id === item)?.item
   }
 
-  /** What runs of its items have come to that aren't finished. */
+  /** Copies the progress of the unfinished items. */
   copyProgress (): readonly ItemProgress[] {
     return this.items.flatMap(({ item: { id }, last, texts, failures, phase }) => last === undefined || phase === 'ended' ? [] : [{ id, last, texts: [...texts], failures }])
   }
 
-  /** Goes on from where another daemon got to; an item that has come further here stays. */
-  useProgress (progress: readonly ItemProgress[]): void {
+  /** Applies the progress of another daemon to waiting items that are behind it. */
+  applyProgress (progress: readonly ItemProgress[]): void {
     for (const { id, last, texts, failures } of progress) {
       const state = this.items.find(({ item }) => item.id === id)
       if (state === undefined || state.phase !== 'waiting' || (state.last ?? -1) >= last) continue
@@ -97,7 +98,7 @@
     }
   }
 
-  /** Ends an item with its result, which is shown once it is stored. */
+  /** Finishes an item. Callers can read the result once it is stored. */
   finish (state: ItemState, result: ListedResult): void {
     if (state.phase === 'ended') return
     state.phase = 'ended'
@@ -106,8 +107,8 @@
   }
 
   /**
-   * Takes the stored segment of number `segment`, created by this daemon or another; results that it has aren't stored again. One that
-   * is known already changes nothing: two reads that overlap would list its results twice.
+   * Adds stored segment number `segment`, created by this daemon or another, and drops its results from those still to be stored. A segment
+   * that was added before is ignored, since two reads may overlap.
    */
   addSegment (segment: number, results: readonly ListedResult[]): void {
     if (segment !== this.segments) return
@@ -120,7 +121,7 @@
     }
     const left = this.pending.filter(({ id }) => !this.listed.has(id))
     this.pending.splice(0, this.pending.length, ...left)
-    this.wake()
+    this.notify()
   }
 
   readPage (after: number): ResultsPage {
@@ -131,16 +132,16 @@
       if (results.length > 0 && size > PAGE_BYTES) break
       results.push(result)
     }
-    return { total: this.head.total, results, next: after + results.length }
+    return { total: this.header.total, results, next: after + results.length }
   }
 
-  /** Calls `listener` at the next change of its results; the function it gives back ends that. */
+  /** Calls `listener` at each change of the results until the returned function is called. */
   subscribe (listener: () => void): () => void {
-    this.readers.add(listener)
-    return () => this.readers.delete(listener)
+    this.listeners.add(listener)
+    return () => this.listeners.delete(listener)
   }
 
-  wake (): void {
-    for (const reader of [...this.readers]) reader()
+  notify (): void {
+    for (const listener of [...this.listeners]) listener()
   }
 }
--- a/src/jobs/owner-conflict-resolver.ts
+++ b/src/jobs/owner-conflict-resolver.ts
@@ -12,26 +12,26 @@
 import type { KnownJob } from './known-job.js'
 import type { OwnedJob } from './owned-job.js'
 
-/** How long a job counts as one that another daemon may own too, after the last sign of it, ms: several tells and their answers. */
-const DOUBT = 3_000
-/** How often the others are told of such a job, ms. */
-const TELL_PERIOD = 500
+/** How long after the last sign of a second owner a job counts as contested, ms: several publications and their replies. */
+const CONTESTED_TIME = 3_000
+/** Time between two publications of a contested job, ms. */
+const PUBLISH_PERIOD = 500
 
 /**
- * Two daemons that own one job find each other, and one gives way. An owner that stood still, or was cut off, goes on with what
- * it believed, while another has taken its jobs over: each shows its callers results that the other doesn't know, and both run
- * the same items for as long as nobody tells them. So an owner that wakes tells of its jobs, an owner whose predecessor is back
- * does too, both until no other claim is heard; by rank one keeps the job. Meanwhile each reads the store before it answers.
+ * Detects that two daemons own the same job and makes one of them release it. An owner that was paused or partitioned resumes while another
+ * daemon has taken its jobs over: both would run the same items, and each would list results that the other lacks. So an owner publishes its
+ * jobs after a pause, and when their former owner is back, until no other owner has been seen for a while. The daemon that ranks first keeps
+ * the job. Until then each owner reads the store before it answers callers.
  */
 @scoped(Lifecycle.ContainerScoped)
 export class OwnerConflictResolver implements Part {
-  /** Jobs whose former owner was alive at the last look. */
-  private readonly returned = new WeakSet<OwnedJob>()
+  /** Jobs whose former owner was alive at the last check. */
+  private readonly formerOwnerAlive = new WeakSet<OwnedJob>()
   private cancel = (): void => {}
 
   constructor (
     @inject(JobOwner) private readonly owner: JobOwner,
-    @inject(JobRegistry) private readonly book: JobRegistry,
+    @inject(JobRegistry) private readonly registry: JobRegistry,
     @inject(PauseWatch) private readonly pauses: PauseWatch,
     @inject(tokens.settings) private readonly settings: Settings,
     @inject(tokens.log) private readonly log: LogSink,
@@ -39,9 +39,9 @@
   ) {}
 
   async start (): Promise<void> {
-    this.pauses.subscribe(() => { for (const job of this.owner.list()) this.doubt(job) })
-    this.book.subscribe(told => this.handleNews(told))
-    this.cancel = this.clock.every(TELL_PERIOD, () => this.check())
+    this.pauses.subscribe(() => { for (const job of this.owner.list()) this.markContested(job) })
+    this.registry.subscribe(received => this.handleUpdate(received))
+    this.cancel = this.clock.every(PUBLISH_PERIOD, () => this.check())
   }
 
   async stop (): Promise<void> {
@@ -52,42 +52,42 @@
     this.pauses.check()
     const now = this.clock.now()
     for (const job of this.owner.list()) {
-      if (this.isFormerBack(job)) this.doubt(job)
-      if (now < job.doubtfulUntil) this.book.tell(this.owner.show(job))
+      if (this.hasFormerOwnerReturned(job)) this.markContested(job)
+      if (now < job.contestedUntil) this.registry.publish(this.owner.buildKnownJob(job))
     }
   }
 
-  private isFormerBack (job: OwnedJob): boolean {
-    const wasBack = this.returned.has(job)
-    const isBack = job.former !== undefined && this.owner.isOwnerAlive(job.former)
-    if (isBack) this.returned.add(job)
-    else this.returned.delete(job)
-    return isBack && !wasBack
+  private hasFormerOwnerReturned (job: OwnedJob): boolean {
+    const wasAlive = this.formerOwnerAlive.has(job)
+    const isAlive = job.formerOwner !== undefined && this.owner.isOwnerAlive(job.formerOwner)
+    if (isAlive) this.formerOwnerAlive.add(job)
+    else this.formerOwnerAlive.delete(job)
+    return isAlive && !wasAlive
   }
 
-  /** A job whose results are all known can't be behind another owner. */
-  private doubt (job: OwnedJob): void {
+  /** Marks a job as contested unless all of its results are stored: such a job can't be behind another owner. */
+  private markContested (job: OwnedJob): void {
     if (job.isDone) return
     const now = this.clock.now()
-    if (now >= job.doubtfulUntil) void this.owner.checkEnd(job.id)
-    job.doubtfulUntil = now + DOUBT
+    if (now >= job.contestedUntil) void this.owner.checkEnded(job.id)
+    job.contestedUntil = now + CONTESTED_TIME
   }
 
   /**
-   * Another daemon says that it owns what this one owns: both know by rank which of them keeps it. One that takes it for
-   * without an owner, or for that of a daemon that has ended, is told better.
+   * Handles a publication of a job that this daemon owns. If the sender claims it as well, both determine by rank which one keeps it. If the
+   * published owner is absent or has ended, this daemon publishes itself as the owner.
    */
-  private handleNews (told: KnownJob): void {
+  private handleUpdate (received: KnownJob): void {
     const { instance } = this.settings
-    const job = this.owner.find(told.id)
+    const job = this.owner.find(received.id)
     if (job === undefined) return
-    const isAlive = this.owner.isOwnerAlive(told)
-    if (told.owner === instance && isAlive) return
-    if (told.owner !== '' && told.owner !== instance) this.doubt(job)
-    if (!isAlive) return this.book.tell(this.owner.show(job))
-    if (rankOwners(told.id, [instance, told.owner])[0] === instance) return
-    this.log.write('info', 'jobs', 'gave a job to its other owner', { job: job.id, to: told.owner, results: job.readPage(0).next, of: job.head.total })
-    this.owner.giveWay(job, told.owner)
+    const isAlive = this.owner.isOwnerAlive(received)
+    if (received.owner === instance && isAlive) return
+    if (received.owner !== '' && received.owner !== instance) this.markContested(job)
+    if (!isAlive) return this.registry.publish(this.owner.buildKnownJob(job))
+    if (rankOwners(received.id, [instance, received.owner])[0] === instance) return
+    this.log.write('info', 'jobs', 'gave a job to its other owner', { job: job.id, to: received.owner, results: job.readPage(0).next, of: job.header.total })
+    this.owner.releaseTo(job, received.owner)
   }
 }
 
--- a/test/jobs/job-reader.test.ts
+++ b/test/jobs/job-reader.test.ts
@@ -9,16 +9,16 @@
 import type { PeerLinks } from '../../src/peers/peer-links.js'
 import { VirtualClock } from '../helpers/virtual-clock.js'
 
-const HEAD = { host: 'h', path: '/p/', submittedAt: 0, total: 1, tokens: 1, owner: 'd0', run: 1, parts: 1 }
+const HEADER = { host: 'h', path: '/p/', submittedAt: 0, total: 1, tokens: 1, owner: 'd0', run: 1, parts: 1 }
 
-/** A daemon that is asked to see to a job whose stored owner is `owner`; the store answers after `failures` reads. */
-async function tellCare (owner: string, failures: number): Promise<{ readonly adopted: number, readonly asked: readonly string[] }> {
+/** Makes daemon d0 ensure that a job with the stored owner `owner` runs; the first `failures` reads of the store fail. */
+async function ensureRunning (owner: string, failures: number): Promise<{ readonly adopted: number, readonly asked: readonly string[] }> {
   const clock = new VirtualClock()
   const asked: string[] = []
   let adopted = 0
   let reads = 0
   const known = new Map<string, KnownJob>()
-  const records = { readHead: async () => reads++ < failures ? Err({ type: 'limited' }) : Ok({ ...HEAD, owner }) }
+  const records = { readHeader: async () => reads++ < failures ? Err({ type: 'limited' }) : Ok({ ...HEADER, owner }) }
   const jobOwner = {
     find: () => adopted > 0 ? {} : undefined,
     isOwnerAlive: () => true,
@@ -27,10 +27,10 @@
       return Ok(undefined)
     }
   }
-  const book = { get: (id: string) => known.get(id), learn: (job: KnownJob) => { known.set(job.id, job) } }
-  const reader: JobReader = new JobReader(jobOwner as unknown as JobOwner, book as unknown as JobRegistry, records as unknown as JobRecords,
+  const registry = { get: (id: string) => known.get(id), addIfAbsent: (job: KnownJob) => { known.set(job.id, job) } }
+  const reader: JobReader = new JobReader(jobOwner as unknown as JobOwner, registry as unknown as JobRegistry, records as unknown as JobRecords,
     { send: (to: string) => asked.push(to) } as unknown as PeerLinks, { instance: 'd0' }, { write: () => {} }, clock)
-  void reader.tellCare('job')
+  void reader.ensureRunning('job')
   await clock.advance(5_000)
   return { adopted, asked }
 }
@@ -38,16 +38,15 @@
 interface Case { readonly name: string, readonly owner: string, readonly failures: number, readonly adopted: boolean, readonly asked: boolean }
 
 const cases: readonly Case[] = [
-  { name: 'the store is busy for a while', owner: 'd0', failures: 3, adopted: true, asked: false },
-  { name: 'this daemon is the one that believes that it failed to accept it', owner: 'd0', failures: 0, adopted: true, asked: false },
-  { name: 'another daemon is, and is asked again as long as it does not answer', owner: 'd1', failures: 1, adopted: false, asked: true }
+  { name: 'the store fails a few reads', owner: 'd0', failures: 3, adopted: true, asked: false },
+  { name: 'this daemon owns it, and its write was reported as failed', owner: 'd0', failures: 0, adopted: true, asked: false },
+  { name: 'another daemon owns it, and is called again until it answers', owner: 'd1', failures: 1, adopted: false, asked: true }
 ]
 
-// A daemon stores a job, the store's answer is a refusal or is lost, and the caller is told to come back; it comes to a daemon that
-// finds the job stored and confirms it. From then on somebody must run it, though its owner lives and knows of nothing.
+// Guards against a job that is confirmed on a retry and never runs, because its owner's write was stored but reported as failed.
 for (const { name, owner, failures, adopted, asked } of cases) {
-  test(`a job that is found stored is run: ${name}`, async t => {
-    const seen = await tellCare(owner, failures)
+  test(`a job that is found stored runs: ${name}`, async t => {
+    const seen = await ensureRunning(owner, failures)
     t.is(seen.adopted > 0, adopted)
     t.is(seen.asked.length > 1, asked)
   })
--- a/test/jobs/job-runner.test.ts
+++ b/test/jobs/job-runner.test.ts
@@ -3,7 +3,7 @@
 import { Err, type Result } from 'ts-results'
 import type { Configuration } from '../../src/config/configuration.js'
 import type { ConfigurationHolder } from '../../src/config/configuration-holder.js'
-import { ItemPace } from '../../src/jobs/item-pace.js'
+import { ItemDurationEstimator } from '../../src/jobs/item-duration-estimator.js'
 import type { JobItem } from '../../src/jobs/job-item.js'
 import { JobRunner } from '../../src/jobs/job-runner.js'
 import { OwnedJob } from '../../src/jobs/owned-job.js'
@@ -23,14 +23,14 @@
 const POOL = 'pool'
 const SERVER = 's1'
 const ITEM: JobItem = { id: 'a', path: '/jobs/a', headers: {}, body: 'eA==', tokens: 10 }
-/** Longer than a look at a job counts while the store answers, ms. */
+/** Longer than a read lets items start while the store is available, ms. */
 const STALE = 2_600
-/** How long the connection is waited for in which the item's first byte leaves, ms. */
+/** How long a connection to the server takes to open, ms. */
 const CONNECTING = 1_000
 
 interface Trial { readonly clock: VirtualClock, readonly job: OwnedJob, readonly grant: () => void, readonly countAsked: () => number, readonly begun: string[], readonly sent: ServerRequest[] }
 
-/** A runner with one job, and a server whose connections take a while to stand. */
+/** Creates a runner with one job, and a server whose connections open after a delay. */
 async function createTrial (): Promise<Trial> {
   const clock = new VirtualClock()
   const begun: string[] = []
@@ -51,34 +51,34 @@
     { subscribe: (listener: typeof listeners[number]) => listeners.push(listener), askBatch: () => { asked++ } } as unknown as SlotClient,
     { send } as unknown as Sender,
     { find: () => ({ name: SERVER, url: '' }) } as unknown as Servers,
-    configuration, new ItemPace(), new PauseWatch(clock), new Metrics(), { buildHeaders: () => ({}) } as unknown as ServerDialect, { write: () => {} }, clock, new Random(1))
+    configuration, new ItemDurationEstimator(), new PauseWatch(clock), new Metrics(), { buildHeaders: () => ({}) } as unknown as ServerDialect, { write: () => {} }, clock, new Random(1))
   await runner.start()
-  const head = { host: 'h', path: '/jobs/', submittedAt: 0, total: 1, tokens: 10, owner: 'd', run: 1, parts: 1 }
-  const job = new OwnedJob({ id: 'j', head, items: [ITEM], segments: [], acceptedAt: 0, openAt: 0 })
+  const header = { host: 'h', path: '/jobs/', submittedAt: 0, total: 1, tokens: 10, owner: 'd', run: 1, parts: 1 }
+  const job = new OwnedJob({ id: 'j', header, items: [ITEM], segments: [], acceptedAt: 0, readAt: 0 })
   runner.add(job)
   return { clock, job, begun, sent, countAsked: () => asked, grant: () => listeners[0]!.onGrant(POOL, SERVER) }
 }
 
-test('an item of a job that was looked at a moment ago runs', async t => {
+test('an item runs after a recent read of its job', async t => {
   const { clock, grant, begun } = await createTrial()
   grant()
   await clock.advance(CONNECTING)
   t.deepEqual(begun, [ITEM.id])
 })
 
-// Guards against items that are sent by a look of long ago.
-test('no item is sent once the last look at its job is too old, and again after a new one', async t => {
+// Guards against items that are sent on an old read.
+test('no item is sent once the last read of its job is too old, until there is a new one', async t => {
   const { clock, job, grant, sent } = await createTrial()
   for (let ms = 0; ms < STALE; ms += 1_000) await clock.advance(1_000)
   grant()
   t.is(sent.length, 0)
-  job.look = { seen: clock.now(), unreachable: false }
+  job.lastRead = { seen: clock.now(), unreachable: false }
   grant()
   t.is(sent.length, 1)
 })
 
-// Guards against an item that waits for its connection while the look at its job grows old, and then leaves.
-test('an item whose connection comes after its look has grown old is withheld, and comes again', async t => {
+// Guards against an item that is sent after the read of its job expired while the connection opened.
+test('an item whose read expires while its connection opens is withheld and retried', async t => {
   const { clock, job, grant, begun, sent } = await createTrial()
   await clock.advance(1_000)
   await clock.advance(1_000)
@@ -86,7 +86,7 @@
   t.is(sent.length, 1)
   await clock.advance(CONNECTING)
   t.deepEqual(begun, [])
-  job.look = { seen: clock.now(), unreachable: false }
+  job.lastRead = { seen: clock.now(), unreachable: false }
   await clock.advance(500)
   grant()
   await clock.advance(CONNECTING)
@@ -94,8 +94,8 @@
   t.is(job.items[0]!.failures, 0)
 })
 
-// Guards against slots that are taken from others for items that may not start.
-test('no slot is asked for while the look at the only job is too old', async t => {
+// Guards against slots that are taken from other daemons for items that may not start.
+test('no slot is requested while the last read of the only job is too old', async t => {
   const { clock, job, countAsked } = await createTrial()
   await clock.advance(2_000)
   t.true(countAsked() > 0)
@@ -103,7 +103,7 @@
   const asked = countAsked()
   await clock.advance(2_000)
   t.is(countAsked(), asked)
-  job.look = { seen: clock.now(), unreachable: false }
+  job.lastRead = { seen: clock.now(), unreachable: false }
   await clock.advance(1_000)
   t.true(countAsked() > asked)
 })
