--- a/src/entry/address-lookup.ts
+++ b/src/entry/address-lookup.ts
@@ -27,9 +27,9 @@
   private leaving = false
 
   constructor (
-    @inject(tokens.routed) private readonly settings: RoutedSettings,
+    @inject(tokens.routedSettings) private readonly settings: RoutedSettings,
     @inject(tokens.settings) private readonly own: Settings,
-    @inject(tokens.door) private readonly dialect: EntryDialect,
+    @inject(tokens.entryDialect) private readonly dialect: EntryDialect,
     @inject(ConfigurationHolder) private readonly configuration: ConfigurationHolder,
     @inject(FleetWatch) private readonly fleet: FleetWatch,
     @inject(Members) private readonly members: Members,
--- a/src/entry/routed-entry.ts
+++ b/src/entry/routed-entry.ts
@@ -60,9 +60,9 @@
   private readonly longestTimeouts = new WeakMap<Route, number>()
 
   constructor (
-    @inject(tokens.routed) private readonly settings: RoutedSettings,
-    @inject(tokens.early) private readonly early: EarlyServer | undefined,
-    @inject(tokens.door) private readonly dialect: EntryDialect,
+    @inject(tokens.routedSettings) private readonly settings: RoutedSettings,
+    @inject(tokens.earlyServer) private readonly early: EarlyServer | undefined,
+    @inject(tokens.entryDialect) private readonly dialect: EntryDialect,
     @inject(tokens.clock) private readonly clock: Clock,
     @inject(tokens.log) private readonly log: LogSink,
     @inject(ConfigurationHolder) private readonly configuration: ConfigurationHolder,
--- a/src/entry/start-wait.ts
+++ b/src/entry/start-wait.ts
@@ -1,5 +1,5 @@
 import type { Clock } from '../kernel/clock.js'
-import { waitForNext } from '../kernel/wait-for-next.js'
+import { waitForNotification } from '../kernel/wait-for-notification.js'
 
 /** How long after its start a daemon holds requests until its state has loaded, ms. A store that hasn't answered by then is unavailable. */
 const MAX_STARTUP_WAIT = 600
@@ -40,7 +40,7 @@
     while (!isLoaded()) {
       const left = this.until - clock.now()
       if (left <= 0) return false
-      await waitForNext(clock, subscribe, left)
+      await waitForNotification(clock, subscribe, left)
     }
     return true
   }
--- a/src/fleet/change-publisher.ts
+++ b/src/fleet/change-publisher.ts
@@ -41,7 +41,7 @@
   relay (notice: ChangeNotice, received: WatchBatch<unknown>, from: string): void {
     const domainMembers = this.listDomainMembers()
     if (isSmallFleet(this.options.members.all()) || domainMembers.includes(from)) return
-    if (this.getMirror(notice.kind).complete >= received.revision) this.send(domainMembers, notice)
+    if (this.getMirror(notice.kind).completeRevision >= received.revision) this.send(domainMembers, notice)
     else this.sendAll(domainMembers, { type: 'fleet news', kind: notice.kind, batch: { ...received, after: undefined }, sure: notice.sure, hold: notice.hold })
   }
 
@@ -64,7 +64,7 @@
 
   /** Requests from a daemon the changes that this one is missing. */
   requestMissing (name: string): void {
-    const have = Object.fromEntries([...this.options.mirrors].map(([kind, { complete }]) => [kind, complete]))
+    const have = Object.fromEntries([...this.options.mirrors].map(([kind, { completeRevision: complete }]) => [kind, complete]))
     this.options.links.send(name, { type: 'fleet ask', have })
   }
 
@@ -74,7 +74,7 @@
     const copy = mirror.copySince(kind, this.published.get(kind) ?? -1)
     if (names.length + copy.changed.length + copy.deleted.length > 0) this.sendAll(recipients, { type: 'fleet news', kind, batch: buildChangeBatch(copy, names), sure, hold })
     else if (copy.whole !== true) return
-    this.published.set(kind, mirror.complete)
+    this.published.set(kind, mirror.completeRevision)
   }
 
   private sendAll (names: readonly string[], message: PeerMessage): void {
--- a/src/fleet/fleet-watch.ts
+++ b/src/fleet/fleet-watch.ts
@@ -194,9 +194,9 @@
   /** Requests the missing changes from a daemon that has published everything up to `revision`, if this one is behind. */
   private requestIfBehind (kind: string, revision: number, from: string): void {
     const now = this.clock.now()
-    if (revision <= (this.mirrors.get(kind)?.complete ?? Infinity) || now < this.requestedAt + MIN_REQUEST_INTERVAL) return
+    if (revision <= (this.mirrors.get(kind)?.completeRevision ?? Infinity) || now < this.requestedAt + MIN_REQUEST_INTERVAL) return
     this.requestedAt = now
-    this.log.write('info', 'fleet', 'requests missing changes', { kind, revision, complete: this.mirrors.get(kind)?.complete, from })
+    this.log.write('info', 'fleet', 'requests missing changes', { kind, revision, complete: this.mirrors.get(kind)?.completeRevision, from })
     this.publisher.requestMissing(from)
   }
 
--- a/src/http/is-address-gone.ts
+++ b/src/http/is-address-gone.ts
@@ -11,7 +11,7 @@
   readonly host: string
   readonly port: number
   /** What a process that lives answers. Left out, it need only keep the connection open. */
-  readonly question?: string
+  readonly probe?: string
 }
 
 /**
@@ -31,7 +31,7 @@
   return false
 }
 
-async function ask ({ host, port, question }: AskedAddress): Promise<'alive' | 'silent' | 'closed' | 'refused'> {
+async function ask ({ host, port, probe: question }: AskedAddress): Promise<'alive' | 'silent' | 'closed' | 'refused'> {
   return await new Promise(resolve => {
     const socket = connect({ host, port, timeout: TIMEOUT })
     const settle = (outcome: 'alive' | 'silent' | 'closed' | 'refused'): void => {
--- a/src/jobs/ended-job-watch.ts
+++ b/src/jobs/ended-job-watch.ts
@@ -39,7 +39,7 @@
     @inject(EndedJobLookup) private readonly lookup: Pick<EndedJobLookup, 'find'>,
     @inject(PauseWatch) private readonly pauses: PauseWatch,
     @inject(Metrics) metrics: Metrics,
-    @inject(tokens.routed) private readonly routed: Pick<RoutedSettings, 'resultKeep'>,
+    @inject(tokens.routedSettings) private readonly routed: Pick<RoutedSettings, 'resultKeep'>,
     @inject(tokens.log) private readonly log: LogSink,
     @inject(tokens.clock) private readonly clock: Clock
   ) {
--- a/src/jobs/job-cleaner.ts
+++ b/src/jobs/job-cleaner.ts
@@ -28,7 +28,7 @@
     @inject(JobOwner) private readonly owner: JobOwner,
     @inject(JobRecords) private readonly records: JobRecords,
     @inject(Members) private readonly members: Members,
-    @inject(tokens.routed) private readonly routed: Pick<RoutedSettings, 'resultKeep'>,
+    @inject(tokens.routedSettings) private readonly routed: Pick<RoutedSettings, 'resultKeep'>,
     @inject(tokens.settings) private readonly settings: Settings,
     @inject(tokens.log) private readonly log: LogSink,
     @inject(tokens.clock) private readonly clock: Clock
--- a/src/jobs/job-reader.ts
+++ b/src/jobs/job-reader.ts
@@ -6,7 +6,7 @@
 import { pauseFor } from '../kernel/pause-for.js'
 import type { Settings } from '../kernel/settings.js'
 import { tokens } from '../kernel/tokens.js'
-import { waitForNext } from '../kernel/wait-for-next.js'
+import { waitForNotification } from '../kernel/wait-for-notification.js'
 import type { LogSink } from '../observe/log-sink.js'
 import { MemberCalls } from '../peers/member-calls.js'
 import { PeerLinks } from '../peers/peer-links.js'
@@ -116,7 +116,7 @@
     if (job === undefined || !await this.owner.ensureCurrent(job)) return undefined
     const page = job.readPage(after)
     if (page.results.length > 0 || wait <= 0 || job.isDone || job.ended) return page
-    await waitForNext(this.clock, listener => job.subscribe(listener), wait)
+    await waitForNotification(this.clock, listener => job.subscribe(listener), wait)
     return job.readPage(after)
   }
 
--- a/src/jobs/job-request-handler.ts
+++ b/src/jobs/job-request-handler.ts
@@ -44,7 +44,7 @@
   private readonly accepting = new Map<string, { readonly host: string, readonly path: string, readonly tokens: number }>()
 
   constructor (
-    @inject(tokens.door) private readonly dialect: EntryDialect,
+    @inject(tokens.entryDialect) private readonly dialect: EntryDialect,
     @inject(tokens.clock) private readonly clock: Clock,
     @inject(tokens.random) private readonly random: Random,
     @inject(tokens.log) private readonly log: LogSink,
--- a/src/jobs/job-runner.ts
+++ b/src/jobs/job-runner.ts
@@ -61,7 +61,7 @@
     @inject(ItemDurationEstimator) private readonly durations: ItemDurationEstimator,
     @inject(PauseWatch) private readonly pauses: PauseWatch,
     @inject(Metrics) private readonly metrics: Metrics,
-    @inject(tokens.servers) private readonly dialect: ServerDialect,
+    @inject(tokens.serverDialect) private readonly dialect: ServerDialect,
     @inject(tokens.log) private readonly log: LogSink,
     @inject(tokens.clock) private readonly clock: Clock,
     @inject(tokens.random) private readonly random: Random
--- a/src/kernel/tokens.ts
+++ b/src/kernel/tokens.ts
@@ -20,9 +20,9 @@
   storeClient: Symbol('store client') as InjectionToken<PlatformClient>,
   log: Symbol('log') as InjectionToken<LogSink>,
   /** How callers speak to the door for requests by host and path, how its servers are spoken to, and where it listens. */
-  door: Symbol('door') as InjectionToken<EntryDialect>,
-  servers: Symbol('servers') as InjectionToken<ServerDialect>,
-  routed: Symbol('routed') as InjectionToken<RoutedSettings>,
+  entryDialect: Symbol('door') as InjectionToken<EntryDialect>,
+  serverDialect: Symbol('servers') as InjectionToken<ServerDialect>,
+  routedSettings: Symbol('routed') as InjectionToken<RoutedSettings>,
   /** What listens at that door already, where anything does. */
-  early: Symbol('early') as InjectionToken<EarlyServer | undefined>
+  earlyServer: Symbol('early') as InjectionToken<EarlyServer | undefined>
 }
--- a/src/routing/forwarder.ts
+++ b/src/routing/forwarder.ts
@@ -22,7 +22,7 @@
     @inject(tokens.clock) readonly clock: Clock,
     @inject(tokens.random) readonly random: Random,
     @inject(tokens.log) readonly log: LogSink,
-    @inject(tokens.servers) readonly dialect: ServerDialect,
+    @inject(tokens.serverDialect) readonly dialect: ServerDialect,
     @inject(Metrics) readonly metrics: Metrics,
     @inject(Sender) readonly sender: Sender,
     @inject(Servers) readonly servers: Servers,
--- a/src/routing/is-server-gone.ts
+++ b/src/routing/is-server-gone.ts
@@ -7,7 +7,7 @@
  */
 export async function isServerGone (url: string): Promise<boolean> {
   const { hostname, port, host } = new URL(url)
-  return await isAddressGone({ host: hostname, port: Number(port), question: buildProbe(host) })
+  return await isAddressGone({ host: hostname, port: Number(port), probe: buildProbe(host) })
 }
 
 /**
--- a/src/routing/servers.ts
+++ b/src/routing/servers.ts
@@ -6,7 +6,7 @@
 import { partRegistry } from '../kernel/part-registry.js'
 import type { Settings } from '../kernel/settings.js'
 import { tokens } from '../kernel/tokens.js'
-import { waitForNext } from '../kernel/wait-for-next.js'
+import { waitForNotification } from '../kernel/wait-for-notification.js'
 import { createPacedConnector } from './create-paced-connector.js'
 import { InstanceList } from '../store/instance-list.js'
 import type { BackendServer } from './backend-server.js'
@@ -145,7 +145,7 @@
 
   /** Resolves when the next request ends, or after `timeout` ms. */
   async waitForRelease (timeout: number): Promise<void> {
-    await waitForNext(this.clock, listener => this.subscribe(listener), timeout)
+    await waitForNotification(this.clock, listener => this.subscribe(listener), timeout)
   }
 
   /** Returns the other daemons' requests in flight at the server; undefined if the last view is too old. */
--- a/src/store/platform-client.ts
+++ b/src/store/platform-client.ts
@@ -37,7 +37,7 @@
    */
   readonly callerTimeout?: number
   /** Longest pause between two probes of a store that doesn't answer, ms. */
-  readonly lastProbe?: number
+  readonly maxProbeDelay?: number
   /** What the platform serves to all daemons together, calls a second, where that is known. */
   readonly fleetRates?: { readonly reads: number, readonly writes: number }
   /** Ids of writes; unique in the fleet for ever. */
@@ -63,7 +63,7 @@
   private readonly gate: CallGate
   private readonly callerTimeout: number | undefined
 
-  constructor (private readonly transport: ApiTransport, { clock = new SystemClock(), random = new Random(Date.now()), metrics = new Metrics(), createId = randomUUID, lastProbe, callerTimeout, fleetRates }: PlatformClientOptions = {}) {
+  constructor (private readonly transport: ApiTransport, { clock = new SystemClock(), random = new Random(Date.now()), metrics = new Metrics(), createId = randomUUID, maxProbeDelay: lastProbe, callerTimeout, fleetRates }: PlatformClientOptions = {}) {
     this.clock = clock
     this.random = random
     this.createId = createId
--- a/src/store/store-mirror.ts
+++ b/src/store/store-mirror.ts
@@ -14,7 +14,7 @@
   /** Where a watch goes on; -1 before the first. */
   cursor = -1
   /** The revision up to which no change is missing; -1 while that isn't known. */
-  complete = -1
+  completeRevision = -1
   /** The revision since which every removal is remembered. */
   private recordedFrom = Infinity
   private readonly held = new Map<string, Held<T>>()
@@ -33,9 +33,9 @@
   /** What a daemon that lacks nothing up to `revision` needs to lack nothing that is known here. */
   copySince (kind: string, revision: number): WatchBatch<T> {
     const objects = [...this.held].map(([name, { version, value }]) => ({ kind, name, version, value: value as T }))
-    if (revision < this.recordedFrom) return { revision: this.complete, changed: objects, deleted: [], whole: this.complete >= 0 }
+    if (revision < this.recordedFrom) return { revision: this.completeRevision, changed: objects, deleted: [], whole: this.completeRevision >= 0 }
     const deleted = [...this.removed].filter(([name, at]) => at > revision && !this.held.has(name)).map(([name]) => name)
-    return { revision: this.complete, after: revision, changed: objects.filter(({ version }) => version > revision), deleted }
+    return { revision: this.completeRevision, after: revision, changed: objects.filter(({ version }) => version > revision), deleted }
   }
 
   /** Takes a batch of the store's own; gives back the names whose objects changed or went. */
@@ -52,8 +52,8 @@
     const gone = whole ? this.listAbsent(batch) : deleted
     names.push(...gone.filter(name => (this.held.get(name)?.version ?? Infinity) <= revision))
     for (const name of gone) this.remove(name, revision)
-    if (whole && revision > this.complete) this.recordedFrom = revision
-    if (whole || (after <= this.complete && known.every(object => this.isKnown(object)))) this.complete = Math.max(this.complete, revision)
+    if (whole && revision > this.completeRevision) this.recordedFrom = revision
+    if (whole || (after <= this.completeRevision && known.every(object => this.isKnown(object)))) this.completeRevision = Math.max(this.completeRevision, revision)
     return names
   }
 
--- a/test/fleet/build-change-batch.test.ts
+++ b/test/fleet/build-change-batch.test.ts
@@ -18,7 +18,7 @@
     const since = isWhole ? -1 : this.mirror.cursor
     const names = this.mirror.apply({ revision: table.revision, ...table.changesSince(KIND, since), whole: since < 0 } as WatchBatch<number>)
     const batch = buildChangeBatch(this.mirror.copySince(KIND, this.published), names)
-    this.published = this.mirror.complete
+    this.published = this.mirror.completeRevision
     return batch
   }
 }
@@ -50,7 +50,7 @@
     }
     case 'ask': {
       const { mirror } = daemons[2]!
-      mirror.merge(daemons[step.from]!.mirror.copySince(KIND, mirror.complete))
+      mirror.merge(daemons[step.from]!.mirror.copySince(KIND, mirror.completeRevision))
     }
   }
 }
@@ -69,8 +69,8 @@
       runStep(step, table, daemons)
       for (const { mirror } of daemons) {
         const known = mirror.list()
-        for (const [name, value] of listUnchanged(table, mirror.complete)) if (known.get(name) !== value) return false
-        for (const object of known.keys()) if (table.read(KIND, object) === undefined && !isDeletedAfter(table, object, mirror.complete)) return false
+        for (const [name, value] of listUnchanged(table, mirror.completeRevision)) if (known.get(name) !== value) return false
+        for (const object of known.keys()) if (table.read(KIND, object) === undefined && !isDeletedAfter(table, object, mirror.completeRevision)) return false
       }
     }
     return true
@@ -86,9 +86,9 @@
     for (const step of all) runStep(step, table, daemons)
     daemons[0]!.follow(table, false)
     const { mirror } = daemons[2]!
-    mirror.merge(daemons[0]!.mirror.copySince(KIND, mirror.complete))
+    mirror.merge(daemons[0]!.mirror.copySince(KIND, mirror.completeRevision))
     const present = table.list(KIND, '', '', Infinity).map(({ name, value }) => [name, value])
-    return mirror.complete === table.revision && JSON.stringify([...mirror.list()].sort()) === JSON.stringify(present)
+    return mirror.completeRevision === table.revision && JSON.stringify([...mirror.list()].sort()) === JSON.stringify(present)
   }), { numRuns: RUNS })
   t.pass()
 })
--- a/test/jobs/ended-job-watch-outage.test.ts
+++ b/test/jobs/ended-job-watch-outage.test.ts
@@ -26,7 +26,7 @@
 async function createTrial (daemons: number): Promise<Trial> {
   const clock = new VirtualClock()
   const transport = new MemoryTransport(clock)
-  const store = new PlatformClient(transport, { clock, random: new Random(1), lastProbe: 600, callerTimeout: 250, fleetRates: { reads: 2_000, writes: 400 } })
+  const store = new PlatformClient(transport, { clock, random: new Random(1), maxProbeDelay: 600, callerTimeout: 250, fleetRates: { reads: 2_000, writes: 400 } })
   store.useFleet(() => daemons)
   const job = new OwnedJob({ id: 'j', header: { host: 'h', path: '/', submittedAt: 0, total: 1, tokens: 1, owner: 'd', run: 1, parts: 1 }, items: [], segments: [], acceptedAt: 0, readAt: 0 })
   const owner = { list: () => [job], end: () => { job.ended = true } } as unknown as JobOwner
