--- a/harness/fleet.ts
+++ b/harness/fleet.ts
@@ -3,7 +3,7 @@
 import { join } from 'node:path'
 import { request } from 'undici'
 import type { Configuration } from '../src/config/configuration.js'
-import { listFolder } from '../src/config/list-folder.js'
+import { readYamlFiles } from '../src/config/read-yaml-files.js'
 import { mergeTimelines } from '../src/observe/merge-timelines.js'
 import { showTimeline } from '../src/observe/show-timeline.js'
 import type { Instance } from '../src/store/instance.js'
@@ -59,7 +59,7 @@
 
   /** The files of a folder as they are applied, by name. */
   static readFiles (folder: string): Readonly<Record<string, string>> {
-    return Object.fromEntries(listFolder(folder).unwrap())
+    return Object.fromEntries(readYamlFiles(folder).unwrap())
   }
 
   get platformUrl (): string {
--- a/src/commands/apply.ts
+++ b/src/commands/apply.ts
@@ -3,7 +3,7 @@
 import { createInterface } from 'node:readline/promises'
 import { checkFiles } from '../config/check-files.js'
 import type { KeyChange } from '../config/key-change.js'
-import { listFolder } from '../config/list-folder.js'
+import { readYamlFiles } from '../config/read-yaml-files.js'
 import { listKeyChanges } from '../config/list-key-changes.js'
 import type { Reach } from '../config/reach.js'
 import { showFinding } from '../config/show-finding.js'
@@ -44,7 +44,7 @@
   wait = Option.String('--wait', '10', { description: 'seconds to wait until all daemons act on it' })
 
   async execute (): Promise<number> {
-    const files = listFolder(this.folder)
+    const files = readYamlFiles(this.folder)
     const checked = files.andThen(texts => checkFiles(texts))
     if (checked.err) return this.write({ findings: checked.val }, checked.val.map(showFinding).join('\n'), exitCodes.refused)
     const present = await this.client().call<{ version: number, files: Record<string, string> }>('GET', '/operator/configuration/files')
--- a/src/commands/check.ts
+++ b/src/commands/check.ts
@@ -1,7 +1,7 @@
 import { Command, Option } from 'clipanion'
 import { checkFiles } from '../config/check-files.js'
 import type { Finding } from '../config/finding.js'
-import { listFolder } from '../config/list-folder.js'
+import { readYamlFiles } from '../config/read-yaml-files.js'
 import { listKeys } from '../config/list-keys.js'
 import { showFinding } from '../config/show-finding.js'
 import { exitCodes } from './exit-codes.js'
@@ -24,7 +24,7 @@
   json = Option.Boolean('--json', false, { description: 'print the answer as JSON' })
 
   async execute (): Promise<number> {
-    const checked = listFolder(this.folder).andThen(files => checkFiles(files))
+    const checked = readYamlFiles(this.folder).andThen(files => checkFiles(files))
     if (checked.err) return this.reject(checked.val)
     const keys = listKeys(checked.val.root)
     const lines = this.keys ? keys.map(key => showFinding({ ...key, message: key.key + key.replaced.map(file => ` (over ${file})`).join('') })) : ['nothing found']
--- a/src/config/list-folder.ts
+++ b/src/config/read-yaml-files.ts
@@ -7,7 +7,7 @@
  * The text of each .yaml file of a folder by its name. Files of other kinds are left alone, but one that ends in
  * .yml is a finding, for its author would think it in force.
  */
-export function listFolder (folder: string): Result<ReadonlyMap<string, string>, readonly Finding[]> {
+export function readYamlFiles (folder: string): Result<ReadonlyMap<string, string>, readonly Finding[]> {
   const findings: Finding[] = []
   const files = new Map<string, string>()
   const add = (file: string, message: string): void => { findings.push({ file, line: 1, column: 1, message }) }
