--- a/bench/hunt/apply-trouble.ts
+++ b/bench/hunt/apply-trouble.ts
@@ -29,9 +29,9 @@
     case 'service silent': return await setFaults(find(fleet.servers, `booking-${trouble.service}`), { silence: true }, trouble.lasting)
     case 'service cuts answers': return await setFaults(find(fleet.servers, `booking-${trouble.service}`), { cut: true }, trouble.lasting)
     case 'regions parted':
-      fleet.setParted(true)
+      fleet.setPartitioned(true)
       await pause(trouble.lasting)
-      return fleet.setParted(false)
+      return fleet.setPartitioned(false)
     case 'platform':
       await fleet.setPlatformFaults(trouble.faults)
       await pause(trouble.lasting)
--- a/bench/hunt/hunt-caller.ts
+++ b/bench/hunt/hunt-caller.ts
@@ -1,6 +1,6 @@
 import { randomInt } from 'node:crypto'
 import { request } from 'undici'
-import { answerWords } from '../../stand-ins/engine/answer-words.js'
+import { createAnswerWords } from '../../stand-ins/engine/create-answer-words.js'
 import { dropMarks } from './drop-marks.js'
 import type { HuntSend } from './hunt-send.js'
 
@@ -100,7 +100,7 @@
     case 'plain': return { wrong: find(got, `/day/${n}`) }
     case 'booking': return { wrong: find(got, JSON.stringify({ slot: n })), text }
     case 'whole':
-    case 'stream': return { wrong: find(dropMarks(got), answerWords(writePrompt(n), TOKENS).join(' ')), marked: got }
+    case 'stream': return { wrong: find(dropMarks(got), createAnswerWords(writePrompt(n), TOKENS).join(' ')), marked: got }
   }
 }
 
--- a/bench/hunt/hunt-fleet.ts
+++ b/bench/hunt/hunt-fleet.ts
@@ -21,7 +21,7 @@
 
   /** With `canPart` the fleet lies in two regions whose daemons can be parted, else in one. */
   static async start (deadline: number, { canPart = false } = {}): Promise<HuntFleet> {
-    const fleet = await Fleet.start({ canPart })
+    const fleet = await Fleet.start({ canPartition: canPart })
     const hunt = new HuntFleet(fleet, mkdtempSync(join(tmpdir(), 'citronwheel-hunt-')), canPart ? TWO_REGIONS : ONE_REGION)
     await Promise.all([
       ...Array.from({ length: huntSize.engines }, async (_, i) => await hunt.addServer(`engine-${i}`, i, 'charter-engines', 'engine')),
--- a/bench/hunt/hunt-jobs.ts
+++ b/bench/hunt/hunt-jobs.ts
@@ -1,5 +1,5 @@
 import { CallerClient } from '../../harness/caller-client.js'
-import { answerWords } from '../../stand-ins/engine/answer-words.js'
+import { createAnswerWords } from '../../stand-ins/engine/create-answer-words.js'
 import { dropMarks } from './drop-marks.js'
 import type { HuntFleet } from './hunt-fleet.js'
 import type { HuntJob } from './hunt-job.js'
@@ -168,7 +168,7 @@
 function findWrong ({ custom_id: item, response, error }: any, allowed: readonly string[]): string | undefined {
   if (error !== null) return allowed.includes(error.code) ? undefined : `${error.code}: ${error.message}`
   const content = dropMarks(response.body.choices[0].message.content)
-  return content === answerWords(`Draft of ${item}`, TOKENS).join(' ') ? undefined : `another's or a cut answer: ${content}`
+  return content === createAnswerWords(`Draft of ${item}`, TOKENS).join(' ') ? undefined : `another's or a cut answer: ${content}`
 }
 
 function readContent ({ response, error }: any): string | undefined {
--- a/bench/soak/apply-trouble.ts
+++ b/bench/soak/apply-trouble.ts
@@ -46,7 +46,7 @@
     case 'engine crashed': return await soak.restartEngine(trouble.engine, trouble.lasting)
     case 'engine leaves': return soak.leaveEngine(trouble.engine)
     case 'streams break': {
-      fleet.engines[trouble.engine]!.breaks.push(...Array.from({ length: trouble.count }, (_, i) => i * 3))
+      fleet.engines[trouble.engine]!.breakPoints.push(...Array.from({ length: trouble.count }, (_, i) => i * 3))
       return
     }
     case 'store': {
@@ -67,7 +67,7 @@
     case 'silent': { store.faults = { down: trouble }; return }
     case 'slow': { store.faults = { delay: SLOW }; return }
     case 'loses replies': { store.faults = { losesReplies: true }; return }
-    case 'forgets history': { store.faults = { historyFrom: store.objects.revision + 1 }; return }
+    case 'forgets history': { store.faults = { oldestRevision: store.objects.revision + 1 }; return }
     default: return failUnreachable(trouble)
   }
 }
--- a/bench/soak/check-record.ts
+++ b/bench/soak/check-record.ts
@@ -34,7 +34,7 @@
   const { id, path, outcome, status, stamp, text, resumable, daemon, at, until } = request
   const findings: string[] = []
   const say = (what: string): void => { findings.push(`${id} ${path} at daemon ${daemon}, ${at} to ${until} ms: ${what}`) }
-  const whole = Array.from({ length: soakSize.events }, (_, i) => `id: ${i + 1}\ndata: ${EventEngine.writeText(path, i + 1)}\n\n`).join('')
+  const whole = Array.from({ length: soakSize.events }, (_, i) => `id: ${i + 1}\ndata: ${EventEngine.buildEventData(path, i + 1)}\n\n`).join('')
   if (outcome === 'whole' && text !== whole) say('ended as whole with other events than its server has')
   if ((outcome === 'whole' || outcome === 'cut') && !whole.startsWith(text.slice(0, text.lastIndexOf('\n\n') + 1))) say('events are missing, twice or out of order')
   if (outcome === 'whole' && !runs.some(({ engine }) => stamp === `stamp-${engine}`)) say(`bears ${String(stamp)}, and no such server ran it`)
@@ -79,7 +79,7 @@
   }
   if (new Set(longest.results.map(result => result.id)).size !== longest.results.length) findings.push(`${id}: an item stands at two positions`)
   for (const { id: item, state, text } of longest.results) {
-    const whole = Array.from({ length: soakSize.events }, (_, i) => EventEngine.writeText(`/drafts/${item}`, i + 1)).join('\n')
+    const whole = Array.from({ length: soakSize.events }, (_, i) => EventEngine.buildEventData(`/drafts/${item}`, i + 1)).join('\n')
     if (!items.includes(item)) findings.push(`${id}: ${item} isn't its item`)
     if (state === 'completed' && text !== whole) findings.push(`${id}: ${item} isn't whole`)
     if (state === 'failed' && !item.endsWith(IMPOSSIBLE) && endedAt === undefined) findings.push(`${id}: ${item} was given up`)
--- a/bench/soak/soak-callers.ts
+++ b/bench/soak/soak-callers.ts
@@ -1,5 +1,5 @@
 import { Agent } from 'undici'
-import { DoorClient } from '../../stand-ins/machines/door-client.js'
+import { RoutedEntryClient } from '../../stand-ins/machines/routed-entry-client.js'
 import type { SentRequest } from './sent-request.js'
 import type { SoakFleet } from './soak-fleet.js'
 import { soakSize } from './soak-size.js'
@@ -41,7 +41,7 @@
 
   private async read ({ id, daemon, path }: Pick<SentRequest, 'id' | 'daemon' | 'path'>): Promise<Pick<SentRequest, 'outcome' | 'status' | 'stamp' | 'text'>> {
     const none = { status: 0, stamp: undefined, text: '' }
-    const answer = await new DoorClient(this.soak.callerWays[daemon]!.address, soakSize.deadline).openStream({ id, path, dispatcher: this.agents[daemon]!, deadline: soakSize.deadline })
+    const answer = await new RoutedEntryClient(this.soak.callerWays[daemon]!.address, soakSize.deadline).openStream({ id, path, dispatcher: this.agents[daemon]!, deadline: soakSize.deadline })
     if (answer === undefined) return { outcome: 'no connection', ...none }
     const { status, stamp, body } = answer
     const known = { status, stamp }
--- a/bench/soak/soak-fleet.ts
+++ b/bench/soak/soak-fleet.ts
@@ -2,7 +2,7 @@
 import { RelayedPort } from '../../harness/relayed-port.js'
 import { EventEngine } from '../../stand-ins/machines/event-engine.js'
 import { registerEngine } from '../../stand-ins/machines/register-engine.js'
-import { writeConfiguration } from '../../stand-ins/machines/write-configuration.js'
+import { createConfiguration } from '../../stand-ins/machines/create-configuration.js'
 import type { Harm } from './harm.js'
 import type { SentVersion } from './sent-version.js'
 import { soakSize } from './soak-size.js'
@@ -28,8 +28,8 @@
 
   constructor (readonly daemons: number) {
     this.fleet = new MachinesFleet({
-      findStore: async (daemon, port) => (await this.openWay(this.storeWays, daemon, { network: daemon, port })).address,
-      findEngine: async engine => (await this.openWay(this.engineWays, engine.id, { network: 20 + Number(engine.id.slice(2)), port: engine.port })).address
+      resolveStoreAddress: async (daemon, port) => (await this.openWay(this.storeWays, daemon, { network: daemon, port })).address,
+      resolveEngineAddress: async engine => (await this.openWay(this.engineWays, engine.id, { network: 20 + Number(engine.id.slice(2)), port: engine.port })).address
     })
   }
 
@@ -68,7 +68,7 @@
   putConfiguration (): void {
     const version = this.versions.length + 1
     const hasExtra = version % 2 === 0
-    this.fleet.store.put('config', 'main', writeConfiguration(version, { hasExtra }))
+    this.fleet.store.put('config', 'main', createConfiguration(version, { hasExtra }))
     this.versions.push({ version, at: this.now(), hasExtra })
   }
 
--- a/bench/soak/soak-jobs.ts
+++ b/bench/soak/soak-jobs.ts
@@ -1,4 +1,4 @@
-import { DoorClient } from '../../stand-ins/machines/door-client.js'
+import { RoutedEntryClient } from '../../stand-ins/machines/routed-entry-client.js'
 import type { SentJob } from './sent-job.js'
 import type { SoakFleet } from './soak-fleet.js'
 import { soakSize } from './soak-size.js'
@@ -78,7 +78,7 @@
     return this.turn++ % this.soak.daemons
   }
 
-  private openClient (daemon: number): DoorClient {
-    return new DoorClient(this.soak.callerWays[daemon]!.address, TRY_TIMEOUT)
+  private openClient (daemon: number): RoutedEntryClient {
+    return new RoutedEntryClient(this.soak.callerWays[daemon]!.address, TRY_TIMEOUT)
   }
 }
--- a/demo/online-work.ts
+++ b/demo/online-work.ts
@@ -1,4 +1,4 @@
-import { answerWords } from '../stand-ins/engine/answer-words.js'
+import { createAnswerWords } from '../stand-ins/engine/create-answer-words.js'
 import type { Caller } from './caller.js'
 import type { Checks } from './checks.js'
 
@@ -28,7 +28,7 @@
 async function askWhole (caller: Caller, n: number): Promise<string[]> {
   const prompt = `When is high tide on day ${n}?`
   const { status, text, sends } = await caller.send('POST', '/v1/chat/completions', createChatBody(prompt, false))
-  const expected = answerWords(prompt, 8).join(' ')
+  const expected = createAnswerWords(prompt, 8).join(' ')
   return status === 200 && JSON.parse(text).choices[0].message.content === expected ? [] : [`whole ${n}: ${status} after ${sends} sends: ${text.slice(0, 120)}`]
 }
 
@@ -36,7 +36,7 @@
   const prompt = `Which berth is free on day ${n}?`
   const { status, text, sends } = await caller.send('POST', '/v1/chat/completions', createChatBody(prompt, true))
   const got = text.split('\n').filter(line => line.startsWith('data: {')).map(line => JSON.parse(line.slice(6)).choices?.[0]?.delta?.content ?? '').join('')
-  const whole = status === 200 && text.trimEnd().endsWith(END_OF_STREAM) && got === answerWords(prompt, 8).join(' ')
+  const whole = status === 200 && text.trimEnd().endsWith(END_OF_STREAM) && got === createAnswerWords(prompt, 8).join(' ')
   return whole ? [] : [`stream ${n}: ${status} after ${sends} sends: ${text.slice(-120)}`]
 }
 
--- a/harness/delayed-way.ts
+++ b/harness/delayed-pipe.ts
@@ -3,7 +3,7 @@
 interface Held { readonly due: number, readonly bytes: Buffer }
 
 /** One direction of a connection, whose bytes may be held for a while and never overtake one another. */
-export class DelayedWay {
+export class DelayedPipe {
   private readonly held: Held[] = []
   private timer: NodeJS.Timeout | undefined
   private ended = false
--- a/harness/fleet.ts
+++ b/harness/fleet.ts
@@ -10,7 +10,7 @@
 import type { RunRecord } from '../stand-ins/engine/run-record.js'
 import type { PlatformFaults } from '../stand-ins/platform/platform-faults.js'
 import { Child } from './child.js'
-import { Parting } from './parting.js'
+import { RegionPartition } from './region-partition.js'
 
 const HOST = '127.0.0.1'
 const REGION = 'region-1'
@@ -33,7 +33,7 @@
 interface FleetOptions {
   readonly platform?: Readonly<Record<string, unknown>>
   /** Whether the daemons are reached by way of the harness, which can then part their regions. */
-  readonly canPart?: boolean
+  readonly canPartition?: boolean
 }
 
 /** A whole fleet as separate processes on loopback: stand-in platform, backend servers and daemons. */
@@ -41,16 +41,16 @@
   readonly operatorToken = OPERATOR_TOKEN
   readonly daemons: Node[] = []
   readonly servers: Node[] = []
-  private readonly parting: Parting | undefined
+  private readonly parting: RegionPartition | undefined
   private platform!: { readonly child: Child, readonly url: string }
   private readonly folder = mkdtempSync(join(tmpdir(), 'citronwheel-'))
 
   private constructor (canPart: boolean) {
-    this.parting = canPart ? new Parting() : undefined
+    this.parting = canPart ? new RegionPartition() : undefined
   }
 
   /** Starts the platform only; daemons and servers are added to it. */
-  static async start ({ platform = {}, canPart = false }: FleetOptions = {}): Promise<Fleet> {
+  static async start ({ platform = {}, canPartition: canPart = false }: FleetOptions = {}): Promise<Fleet> {
     const fleet = new Fleet(canPart)
     const { child, ready } = await Child.start<{ listening: number }>(['stand-in', 'platform', '--options', JSON.stringify(platform)])
     fleet.platform = { child, url: `http://${HOST}:${ready.listening}` }
@@ -110,9 +110,9 @@
   }
 
   /** Makes the links between daemons of different regions silent, or ends that. */
-  setParted (parted: boolean): void {
+  setPartitioned (parted: boolean): void {
     if (this.parting === undefined) throw new Error('this fleet was not started with canPart')
-    this.parting.setParted(parted)
+    this.parting.setPartitioned(parted)
   }
 
   /** Kills a process outright and, as the platform would in time, takes it off the instance list. */
@@ -234,7 +234,7 @@
     rmSync(this.folder, { recursive: true, force: true })
   }
 
-  private async relay (child: Child, daemon: Parameters<Parting['add']>[0]): Promise<void> {
+  private async relay (child: Child, daemon: Parameters<RegionPartition['add']>[0]): Promise<void> {
     await this.parting?.add(daemon)
     void child.waitForExit().then(() => this.parting?.remove(daemon.name))
   }
--- a/harness/machines-fleet.ts
+++ b/harness/machines-fleet.ts
@@ -31,8 +31,8 @@
 
 /** Ways other than straight ones: HOST:PORT at which a daemon finds the store, and at which all find an engine. */
 interface MachinesFleetOptions {
-  readonly findStore?: (daemon: number, port: number) => Promise<string>
-  readonly findEngine?: (engine: EventEngine) => Promise<string>
+  readonly resolveStoreAddress?: (daemon: number, port: number) => Promise<string>
+  readonly resolveEngineAddress?: (engine: EventEngine) => Promise<string>
 }
 
 /** The store, engines and daemons of the users' machines on loopback: the daemons are processes, the others stand in here. */
@@ -43,8 +43,8 @@
   private readonly folder = mkdtempSync(join(tmpdir(), 'citronwheel-'))
   private readonly options: Required<MachinesFleetOptions>
 
-  constructor ({ findStore = async (_daemon, port) => `127.0.0.1:${port}`, findEngine = async ({ port }) => `127.0.0.1:${port}` }: MachinesFleetOptions = {}) {
-    this.options = { findStore, findEngine }
+  constructor ({ resolveStoreAddress: findStore = async (_daemon, port) => `127.0.0.1:${port}`, resolveEngineAddress: findEngine = async ({ port }) => `127.0.0.1:${port}` }: MachinesFleetOptions = {}) {
+    this.options = { resolveStoreAddress: findStore, resolveEngineAddress: findEngine }
   }
 
   async start ({ daemons, engines }: { readonly daemons: number, readonly engines: readonly EventEngine[] }): Promise<void> {
@@ -102,7 +102,7 @@
   private async addEngine (engine: EventEngine): Promise<void> {
     await engine.start()
     this.engines.push(engine)
-    registerEngine(this.store, engine, { address: await this.options.findEngine(engine) })
+    registerEngine(this.store, engine, { address: await this.options.resolveEngineAddress(engine) })
   }
 
   private async addDaemon (index: number): Promise<void> {
@@ -110,7 +110,7 @@
     const [front, readiness, control, directory, metrics] = held.map(({ port }) => port)
     const ports = { front, readiness, control, directory, metrics } as DaemonPorts
     const settings = join(this.folder, `daemon-${index}.toml`)
-    writeFileSync(settings, writeSettings({ name: `edge-${index}`, ports, store: await this.options.findStore(index, this.store.port) }))
+    writeFileSync(settings, writeSettings({ name: `edge-${index}`, ports, store: await this.options.resolveStoreAddress(index, this.store.port) }))
     this.daemons.push({ ports, settings, held })
   }
 }
--- a/harness/parting.ts
+++ b/harness/region-partition.ts
@@ -13,7 +13,7 @@
  * tells an address of its own of the loopback network, where the harness listens and passes on to it. Who opened a
  * connection is read from its first frame. The ways to servers and to the platform stay whole.
  */
-export class Parting {
+export class RegionPartition {
   /** Another address for each process that starts fleets, so that the ports of two fleets never meet. */
   readonly host = `127.1.${process.pid >> 8 & 0xff}.${process.pid & 0xff}`
   private readonly regions = new Map<string, string>()
@@ -39,7 +39,7 @@
     this.relays.delete(name)
   }
 
-  setParted (parted: boolean): void {
+  setPartitioned (parted: boolean): void {
     this.parted = parted
     for (const known of this.connections) {
       if (known.connection.closed) this.connections.delete(known)
--- a/harness/relayed-connection.ts
+++ b/harness/relayed-connection.ts
@@ -1,5 +1,5 @@
 import type { Socket } from 'node:net'
-import { DelayedWay } from './delayed-way.js'
+import { DelayedPipe } from './delayed-pipe.js'
 import type { RelayMode } from './relay-mode.js'
 
 /**
@@ -44,7 +44,7 @@
   }
 
   private join (from: Socket, to: Socket): void {
-    const way = new DelayedWay(to)
+    const way = new DelayedPipe(to)
     from.on('data', bytes => way.write(bytes as Buffer, this.mode.type === 'delayed' ? this.mode.delay : 0))
     from.on('error', () => {})
     from.on('close', () => {
--- a/stand-ins/engine/engine-model.ts
+++ b/stand-ins/engine/engine-model.ts
@@ -1,6 +1,6 @@
 import { Random } from '../../src/kernel/random.js'
 import { addMark } from './add-mark.js'
-import { answerWords } from './answer-words.js'
+import { createAnswerWords } from './create-answer-words.js'
 import { Batcher } from './batcher.js'
 import { CacheEvents } from './cache-events.js'
 import type { Completion } from './completion.js'
@@ -8,7 +8,7 @@
 import { encodeKvHandle } from './encode-kv-handle.js'
 import type { EngineParameters } from './engine-parameters.js'
 import { hashBlocks } from './hash-blocks.js'
-import { ModelSlots } from './model-slots.js'
+import { EngineState } from './engine-state.js'
 import { PrefixCache } from './prefix-cache.js'
 import { RunFile } from './run-file.js'
 import type { RunRecord } from './run-record.js'
@@ -26,7 +26,7 @@
   readonly log: RunRecord[] = []
   readonly parameters: EngineParameters
   readonly random: Random
-  readonly slots: ModelSlots
+  readonly slots: EngineState
   readonly cacheEvents: CacheEvents
   readonly loop: StepLoop
   /** Running and waiting sequences as last reported; up to `loadLag` old. */
@@ -39,7 +39,7 @@
   constructor (parameters: Partial<EngineParameters> = {}) {
     this.parameters = { ...defaultParameters, ...parameters }
     this.random = new Random(this.parameters.seed)
-    this.slots = new ModelSlots(this.parameters)
+    this.slots = new EngineState(this.parameters)
     this.cacheEvents = new CacheEvents(this.parameters.cacheEventLag, this.parameters.cacheEventGaps, this.random)
     this.batcher = new Batcher(this.parameters, new PrefixCache(({ type, block }) => this.cacheEvents.record(type, block, Date.now())))
     this.loop = new StepLoop(this.batcher)
@@ -55,7 +55,7 @@
 
   /** Words of the whole answer without marks, those resumed from included. */
   listWords ({ prompt, tokens }: Completion): readonly string[] {
-    return answerWords(prompt, tokens)
+    return createAnswerWords(prompt, tokens)
   }
 
   /** Starts a run and logs it. A resumed run that has nothing left to say gives its last word again. */
@@ -90,7 +90,7 @@
   }
 
   private createSequence ({ prompt, tokens, resumeFrom, kv }: Completion, id: string, onToken: TokenWriter): Sequence {
-    const words = answerWords(prompt, tokens)
+    const words = createAnswerWords(prompt, tokens)
     const done = Math.min(resumeFrom.length, words.length - 1)
     const promptTokens = splitPrompt(prompt)
     const contextTokens = promptTokens.length + done
--- a/stand-ins/engine/model-slots.ts
+++ b/stand-ins/engine/engine-state.ts
@@ -8,7 +8,7 @@
 interface Slot { readonly model: string, readonly readyAt: number }
 
 /** What orders have made of an engine: its models, its role, and the last fencing number it took. */
-export class ModelSlots {
+export class EngineState {
   private slots: readonly Slot[]
   private role: string
   private fencing = 0
--- a/stand-ins/machines/event-engine.ts
+++ b/stand-ins/machines/event-engine.ts
@@ -34,7 +34,7 @@
   port = 0
   readonly runs: EngineRun[] = []
   /** The next runs of so many break off after this many events. */
-  breaks: number[] = []
+  breakPoints: number[] = []
   private readonly server: Server = createServer((req, res) => { void this.handle(req, res) })
   private running = 0
 
@@ -55,7 +55,7 @@
   }
 
   /** The data of event `n` of a request. */
-  static writeText (path: string, n: number): string {
+  static buildEventData (path: string, n: number): string {
     return `${path} piece ${n}`
   }
 
@@ -80,7 +80,7 @@
 
   private async stream (run: EngineRun, res: ServerResponse): Promise<void> {
     const { events = 6, pause = 10 } = this.options
-    const breakAfter = this.breaks.shift()
+    const breakAfter = this.breakPoints.shift()
     for (let n = (run.resumedAfter ?? 0) + 1; n <= events; n++) {
       await new Promise(resolve => setTimeout(resolve, pause))
       if (run.outcome !== 'running') return
@@ -89,7 +89,7 @@
         res.write(`id: ${n}\nda`, () => res.destroy())
         return
       }
-      res.write(`id: ${n}\ndata: ${EventEngine.writeText(run.path, n)}\n\n`)
+      res.write(`id: ${n}\ndata: ${EventEngine.buildEventData(run.path, n)}\n\n`)
       run.events++
     }
     run.outcome = 'whole'
--- a/stand-ins/machines/object-api.ts
+++ b/stand-ins/machines/object-api.ts
@@ -20,7 +20,7 @@
   /** Before each answer, ms. */
   delay?: number
   /** Watches from before this revision are told that their history is gone. */
-  historyFrom?: number
+  oldestRevision?: number
 }
 
 interface Target { readonly kind: string, readonly name: string | undefined, readonly isStatus: boolean, readonly query: URLSearchParams }
@@ -77,7 +77,7 @@
   }
 
   private async watch (kind: string, revision: number, wait: number, res: ServerResponse): Promise<void> {
-    if (revision < (this.faults.historyFrom ?? 0)) return sendJson(res, 410, {})
+    if (revision < (this.faults.oldestRevision ?? 0)) return sendJson(res, 410, {})
     const end = Date.now() + wait
     for (;;) {
       const { changed, deleted } = this.objects.changesSince(kind, revision)
--- a/stand-ins/machines/door-client.ts
+++ b/stand-ins/machines/routed-entry-client.ts
@@ -24,7 +24,7 @@
 interface WireResults { readonly total?: number, readonly results?: ReadonlyArray<{ readonly id: string, readonly state: string, readonly text: string }> }
 
 /** A caller of the users' machines at one address, in the words of their pages on the wire and in ours here. Statuses are 0 where no answer came. */
-export class DoorClient {
+export class RoutedEntryClient {
   constructor (private readonly address: string, private readonly timeout: number) {}
 
   /** Sends a request for a stream; undefined where no answer began. */
--- a/stand-ins/platform/fault-plan.ts
+++ b/stand-ins/platform/fault-plan.ts
@@ -19,7 +19,7 @@
   }
 
   /** What becomes of a write that was admitted. */
-  chooseWrite (): 'normal' | 'reply lost' | 'delayed' {
+  chooseWriteOutcome (): 'normal' | 'reply lost' | 'delayed' {
     const drawn = this.random.next()
     const { lostReplies = 0, delayedWrites } = this.faults
     if (drawn < lostReplies) return 'reply lost'
--- a/stand-ins/platform/memory-store.ts
+++ b/stand-ins/platform/memory-store.ts
@@ -33,7 +33,7 @@
   private readonly delayed: Array<() => void> = []
 
   /** Keeps the present state as what an old read gets from here on. */
-  keepOld (): void {
+  keepSnapshot (): void {
     this.age++
   }
 
--- a/stand-ins/platform/platform.ts
+++ b/stand-ins/platform/platform.ts
@@ -127,7 +127,7 @@
 
   /** Runs a write now or later, and answers it unless its reply is to be lost. */
   private takeEffect (res: Response, run: () => { readonly status: number, readonly body: unknown }): void {
-    const fate = this.plan.chooseWrite()
+    const fate = this.plan.chooseWriteOutcome()
     if (fate !== 'normal') this.counts.failed++
     if (fate === 'delayed') setTimeout(run, this.plan.faults.delayedWrites!.delay)
     const answer = fate === 'delayed' ? undefined : run()
--- a/test/admission/gates-model.test.ts
+++ b/test/admission/fleet-queues-model.test.ts
@@ -2,10 +2,10 @@
 import fc from 'fast-check'
 import { DemandMeter } from '../../src/admission/demand-meter.js'
 import { splitPool } from '../../src/admission/split-pool.js'
-import { simulateGates, type SpreadCaller } from '../helpers/simulate-gates.js'
+import { simulateFleetQueues, type FleetCaller } from '../helpers/simulate-fleet-queues.js'
 
 /** 48 slots of 200 ms behind 6 daemons: 240 requests a second. */
-const FLEET = { daemons: 6, places: 48, hold: 200, duration: 20_000, tellEvery: 600 }
+const FLEET = { daemons: 6, capacity: 48, holdTime: 200, duration: 20_000, reportPeriod: 600 }
 const SEEDS = [1, 2, 3]
 
 const all = (rate: number): number[] => new Array<number>(FLEET.daemons).fill(rate / FLEET.daemons)
@@ -13,7 +13,7 @@
 
 // Demand exceeds capacity; some callers use every daemon and some one or two. With an even part for each daemon, fair only
 // among its own requests, a caller that uses few daemons gets less than its share.
-const BUSY: Readonly<Record<string, readonly SpreadCaller[]>> = {
+const BUSY: Readonly<Record<string, readonly FleetCaller[]>> = {
   'all through all daemons': [1, 1, 2].map((share, i) => ({ name: String(i), share, rates: all(200) })),
   'each through one': [1, 1, 2].map((share, i) => ({ name: String(i), share, rates: through(i, 200) })),
   'one through all, the others not': [{ name: '0', share: 1, rates: all(200) }, { name: '1', share: 1, rates: through(0, 200) }, { name: '2', share: 2, rates: [0, 200, 200, 0, 0, 0] }]
@@ -21,7 +21,7 @@
 for (const [name, callers] of Object.entries(BUSY)) {
   test(`under overload shares hold across daemons, within 5 %: ${name}`, t => {
     for (const seed of SEEDS) {
-      const got = simulateGates({ ...FLEET, seed, callers })
+      const got = simulateFleetQueues({ ...FLEET, seed, callers })
       const sum = Object.values(got).reduce((sum, { held }) => sum + held, 0)
       for (const caller of callers) t.true(Math.abs(got[caller.name]!.held / sum / (caller.share / 4) - 1) < 0.05, `${seed} ${caller.name} ${got[caller.name]!.held / sum}`)
     }
@@ -38,7 +38,7 @@
 for (const [name, [rates, others]] of Object.entries(HEAVY)) {
   test(`a caller that sends ten times its share causes no refusals for others: ${name}`, t => {
     for (const seed of SEEDS) {
-      const { a, b } = simulateGates({ ...FLEET, seed, callers: [{ name: 'heavy', share: 1, rates }, ...['a', 'b'].map((name, i) => ({ name, share: 1, rates: others(i) }))] })
+      const { a, b } = simulateFleetQueues({ ...FLEET, seed, callers: [{ name: 'heavy', share: 1, rates }, ...['a', 'b'].map((name, i) => ({ name, share: 1, rates: others(i) }))] })
       t.true(a!.refused + b!.refused <= 0.01 * (a!.asked + b!.asked), `${seed} ${a!.refused} ${b!.refused}`)
     }
   })
@@ -48,7 +48,7 @@
 // out; with grants by mean demand they would wait for them.
 test('a caller that sends ten times its share through one daemon hardly delays those that use all', t => {
   const waits = SEEDS.flatMap(seed => {
-    const { a, b } = simulateGates({ ...FLEET, seed, callers: [{ name: 'heavy', share: 1, rates: through(0, 800) }, ...['a', 'b'].map(name => ({ name, share: 1, rates: all(60) }))] })
+    const { a, b } = simulateFleetQueues({ ...FLEET, seed, callers: [{ name: 'heavy', share: 1, rates: through(0, 800) }, ...['a', 'b'].map(name => ({ name, share: 1, rates: all(60) }))] })
     return [...a!.waits, ...b!.waits]
   }).sort((x, y) => x - y)
   const [p90, p99] = [0.9, 0.99].map(share => waits[Math.floor(waits.length * share)]!)
@@ -56,8 +56,8 @@
 })
 
 test('an idle share is lent across daemons', t => {
-  const { a } = simulateGates({ ...FLEET, callers: [{ name: 'a', share: 1, rates: through(0, 400) }, { name: 'idle', share: 9, rates: through(1, 0.001) }] })
-  t.true(a!.held / (0.9 * FLEET.duration * FLEET.places) > 0.95)
+  const { a } = simulateFleetQueues({ ...FLEET, callers: [{ name: 'a', share: 1, rates: through(0, 400) }, { name: 'idle', share: 9, rates: through(1, 0.001) }] })
+  t.true(a!.held / (0.9 * FLEET.duration * FLEET.capacity) > 0.95)
 })
 
 // Hundreds of callers with little demand use one daemon, more than it reports by name, beside a caller that demands several
--- a/test/entry/keyed-requests.test.ts
+++ b/test/entry/keyed-requests.test.ts
@@ -96,7 +96,7 @@
 test('a request that ran while reads were stale never runs again', async t => {
   const fleet = new KeyedFleet()
   const [a, b] = [fleet.create('a'), fleet.create('b')]
-  fleet.store.keepOld()
+  fleet.store.keepSnapshot()
   fleet.store.fault = ({ call }) => call === 'get' ? 'old read' : 'none'
   t.is(await fleet.ask(a), 'answered run 1')
   fleet.store.fault = () => 'none'
@@ -110,7 +110,7 @@
   const fleet = new KeyedFleet()
   const [a, b] = [fleet.create('a'), fleet.create('b')]
   let puts = 0
-  fleet.store.keepOld()
+  fleet.store.keepSnapshot()
   fleet.store.fault = ({ call }) => {
     if (call === 'put' && ++puts === 2) return { loseReply: { type: 'unknown', reason: 'no reply came' } }
     return call === 'get' ? 'old read' : 'none'
@@ -226,7 +226,7 @@
       if (what === 'lose') fleet.store.fault = ({ call }) => call === 'put' ? { loseReply: { type: 'unknown', reason: 'cut' } } : 'none'
       if (what === 'outage') fleet.store.fault = () => ({ fail: { type: 'unavailable', reason: 'outage' } })
       if (what === 'old reads') {
-        fleet.store.keepOld()
+        fleet.store.keepSnapshot()
         fleet.store.fault = ({ call }) => call === 'get' ? 'old read' : 'none'
       }
       if (what === 'calm') fleet.store.fault = () => 'none'
--- a/test/helpers/job-fleet.ts
+++ b/test/helpers/job-fleet.ts
@@ -29,7 +29,7 @@
 const BACK_AFTER = 500
 /** How long results of a job are kept, ms. */
 const RESULT_KEEP = 120_000
-interface Daemon { readonly name: string, readonly clock: PausableClock, readonly pauses: PauseWatch, readonly book: JobRegistry, readonly records: JobRecords, readonly owner: JobOwner, readonly reader: JobReader, finish: (item: string) => void }
+interface Daemon { readonly name: string, readonly clock: PausableClock, readonly pauses: PauseWatch, readonly registry: JobRegistry, readonly records: JobRecords, readonly owner: JobOwner, readonly reader: JobReader, finish: (item: string) => void }
 
 /** Daemons with their books, owners and readers, on virtual time; what is sent to one that is held for dead is lost. */
 export class JobFleet {
@@ -42,7 +42,7 @@
   /** Whether a message is lost on its way. */
   loses: (from: string, to: string, message: PeerMessage) => boolean = () => false
   /** Whether a daemon has another one among its members. */
-  knows: (name: string, other: string) => boolean = () => true
+  isMember: (name: string, other: string) => boolean = () => true
   private readonly dead = new Set<string>()
   private readonly handlers = new Map<string, PeerHandler[]>()
 
@@ -69,7 +69,7 @@
   }
 
   private listMembers (of: string): readonly string[] {
-    return NAMES.filter(name => !this.dead.has(name) && this.knows(of, name))
+    return NAMES.filter(name => !this.dead.has(name) && this.isMember(of, name))
   }
 
   private post (from: string, to: string, message: PeerMessage): void {
@@ -116,6 +116,6 @@
       job.finish(state, { id: item, state: 'completed', text: `by ${name}` })
       onResult(job)
     }
-    return { name, clock, pauses, book, records, owner, reader, finish }
+    return { name, clock, pauses, registry: book, records, owner, reader, finish }
   }
 }
--- a/test/helpers/memory-transport.ts
+++ b/test/helpers/memory-transport.ts
@@ -51,7 +51,7 @@
       if (typeof done === 'object' || done === true) return { type: 'answered', status: 200, body: done }
       return { type: 'answered', status: 409, body: { version: this.objects.read(kind, name)?.version ?? 0 } }
     }
-    const fate = this.plan.chooseWrite()
+    const fate = this.plan.chooseWriteOutcome()
     if (fate === 'normal') return run()
     if (fate === 'delayed') this.clock.after(this.plan.faults.delayedWrites!.delay, run)
     else run()
--- a/test/helpers/simulate-gates.ts
+++ b/test/helpers/simulate-fleet-queues.ts
@@ -4,34 +4,34 @@
 import { Random } from '../../src/kernel/random.js'
 import { splitPool } from '../../src/admission/split-pool.js'
 import { planDaemonLimit } from '../../src/routing/plan-daemon-limit.js'
-import type { Got } from './simulate-gate.js'
+import type { CallerOutcome } from './simulate-pool-queue.js'
 
 /** A caller with a share, and its requests a second at each daemon. */
-export interface SpreadCaller { readonly name: string, readonly share: number, readonly rates: readonly number[] }
+export interface FleetCaller { readonly name: string, readonly share: number, readonly rates: readonly number[] }
 
 interface Options {
-  readonly callers: readonly SpreadCaller[]
+  readonly callers: readonly FleetCaller[]
   readonly daemons: number
   /** Places of all servers together. */
-  readonly places: number
+  readonly capacity: number
   /** Mean time of a place, ms. */
-  readonly hold: number
+  readonly holdTime: number
   readonly duration: number
   /** How late a daemon knows what the others have in flight, ms. */
   readonly lag?: number
   readonly longestWait?: number
   readonly seed?: number
   /** How often daemons tell what is asked of them, ms; never when absent. */
-  readonly tellEvery?: number
+  readonly reportPeriod?: number
 }
 
 /** Runs the gates of several daemons before common servers on virtual time; what is got is counted after a tenth. */
-export function simulateGates ({ callers, daemons, places, hold, duration, lag = 200, longestWait = 500, seed = 1, tellEvery }: Options): Readonly<Record<string, Got>> {
+export function simulateFleetQueues ({ callers, daemons, capacity: places, holdTime: hold, duration, lag = 200, longestWait = 500, seed = 1, reportPeriod: tellEvery }: Options): Readonly<Record<string, CallerOutcome>> {
   const random = new Random(seed)
   const queues = Array.from({ length: daemons }, () => new PoolQueue({ longestWait: () => longestWait }))
   const inFlight = new Array<number>(daemons).fill(0)
   let known = [...inFlight]
-  const got: Record<string, Got> = Object.fromEntries(callers.map(({ name }) => [name, { asked: 0, answered: 0, refused: 0, held: 0, waits: [], refusedAfter: [] }]))
+  const got: Record<string, CallerOutcome> = Object.fromEntries(callers.map(({ name }) => [name, { asked: 0, answered: 0, refused: 0, held: 0, waits: [], refusedAfter: [] }]))
   const events: { readonly at: number, readonly run: () => void }[] = []
   let now = 0
   const plan = (at: number, run: () => void): void => {
@@ -68,7 +68,7 @@
       letIn(daemon)
     })
   }
-  const arrive = (daemon: number, caller: SpreadCaller): void => {
+  const arrive = (daemon: number, caller: FleetCaller): void => {
     const { name } = caller
     const share = caller.share * (parts.get(String(daemon))?.factors.get(name) ?? 1)
     meters[daemon]!.count(name, caller.share)
--- a/test/helpers/simulate-gate.ts
+++ b/test/helpers/simulate-pool-queue.ts
@@ -6,22 +6,22 @@
 interface SimulationOptions {
   readonly callers: readonly SimulatedCaller[]
   /** Places of all servers together. */
-  readonly places: number
+  readonly capacity: number
   /** Mean time of a place, ms; times are between half and one and a half of it. */
-  readonly hold: number
+  readonly holdTime: number
   readonly duration: number
   readonly longestWait?: number
   readonly seed?: number
 }
 
 /** What one caller got; `waits` of the requests let in, ms, in order. */
-export interface Got { asked: number, answered: number, refused: number, held: number, waits: number[], refusedAfter: number[] }
+export interface CallerOutcome { asked: number, answered: number, refused: number, held: number, waits: number[], refusedAfter: number[] }
 
 /** Runs a `PoolQueue` before a model of servers on virtual time: Poisson arrivals, `places` requests at once. */
-export function simulateGate ({ callers, places, hold, duration, longestWait = 500, seed = 1 }: SimulationOptions): Readonly<Record<string, Got>> {
+export function simulatePoolQueue ({ callers, capacity: places, holdTime: hold, duration, longestWait = 500, seed = 1 }: SimulationOptions): Readonly<Record<string, CallerOutcome>> {
   const random = new Random(seed)
   const queue = new PoolQueue({ longestWait: () => longestWait })
-  const got: Record<string, Got> = Object.fromEntries(callers.map(({ name }) => [name, { asked: 0, answered: 0, refused: 0, held: 0, waits: [], refusedAfter: [] }]))
+  const got: Record<string, CallerOutcome> = Object.fromEntries(callers.map(({ name }) => [name, { asked: 0, answered: 0, refused: 0, held: 0, waits: [], refusedAfter: [] }]))
   const events: { readonly at: number, readonly run: () => void }[] = []
   let now = 0
   let busy = 0
--- a/test/jobs/job-cleaner.test.ts
+++ b/test/jobs/job-cleaner.test.ts
@@ -22,7 +22,7 @@
   await fleet.daemons.get(owner)!.owner.accept(JOB, { host: 'h', path: '/jobs/' }, items)
   await fleet.time.advance(1_000)
   fleet.restart(cleaning)
-  const { book, owner: cleaningOwner, records, clock } = fleet.daemons.get(cleaning)!
+  const { registry: book, owner: cleaningOwner, records, clock } = fleet.daemons.get(cleaning)!
   const members = { owners: () => names } as unknown as Members
   const cleaner = new JobCleaner(book, cleaningOwner, records, members, { resultKeep: RESULT_KEEP }, { instance: cleaning } as unknown as Settings, { write: () => {} }, clock)
   await cleaner.start()
--- a/test/jobs/job-registry-updates.test.ts
+++ b/test/jobs/job-registry-updates.test.ts
@@ -11,7 +11,7 @@
 const SETTLED = 1_000
 
 function countWaiting (fleet: JobFleet, name: string): number {
-  return fleet.daemons.get(name)!.book.countWaitingTokens(() => true)
+  return fleet.daemons.get(name)!.registry.countWaitingTokens(() => true)
 }
 
 async function accept (fleet: JobFleet): Promise<void> {
--- a/test/jobs/stop-reaches-owner.test.ts
+++ b/test/jobs/stop-reaches-owner.test.ts
@@ -45,7 +45,7 @@
 // Guards against one of two owners that continues because only the other one received the end.
 test('an owner that is missing from the membership of all others stops a job that was taken over and ended', async t => {
   const fleet = new JobFleet()
-  fleet.knows = (name, other) => other !== names[0] || name === other
+  fleet.isMember = (name, other) => other !== names[0] || name === other
   await accept(fleet, names[0]!)
   // No broadcast reaches the owner; another daemon adopts the job and publishes it.
   await fleet.daemons.get(names[2]!)!.owner.adopt(JOB)
@@ -63,7 +63,7 @@
     const share = random.next()
     const hidden = names[random.below(names.length)]!
     fleet.loses = () => random.next() < share
-    fleet.knows = (name, other) => name === other || other !== hidden
+    fleet.isMember = (name, other) => name === other || other !== hidden
     await accept(fleet, names[random.below(names.length)]!)
     await fleet.time.advance(random.below(2_000))
     if (random.below(2) === 0) await fleet.pause(names[random.below(names.length)]!, random.below(LONGEST_PAUSE), random.below(2) === 0)
--- a/test/ownership/giving-way.test.ts
+++ b/test/ownership/giving-way.test.ts
@@ -2,7 +2,7 @@
 import { CallerClient } from '../../harness/caller-client.js'
 import { Fleet } from '../../harness/fleet.js'
 import { readFolder } from '../../src/config/read-folder.js'
-import { answerWords } from '../../stand-ins/engine/answer-words.js'
+import { createAnswerWords } from '../../stand-ins/engine/create-answer-words.js'
 import type { RunRecord } from '../../stand-ins/engine/run-record.js'
 
 const ITEMS = 24
@@ -45,6 +45,6 @@
   t.true(gaveWay.length >= met.length / 2)
   t.true(runs.some(run => isItem(run) && run.body.includes('resume_from')))
   const results = await callers[0]!.readResults(job.id, 'output')
-  t.deepEqual(results.map(line => line.response.body.choices[0].message.content).sort(), Array.from({ length: ITEMS }, (_, i) => answerWords(`Draft ${i}`, TOKENS).join(' ')).sort())
+  t.deepEqual(results.map(line => line.response.body.choices[0].message.content).sort(), Array.from({ length: ITEMS }, (_, i) => createAnswerWords(`Draft ${i}`, TOKENS).join(' ')).sort())
   t.true(results.every(line => line.response.body.usage.completion_tokens === TOKENS))
 })
--- a/test/ownership/orders.test.ts
+++ b/test/ownership/orders.test.ts
@@ -5,7 +5,7 @@
 import { planOrder } from '../../src/ownership/plan-order.js'
 import type { ServerOrder } from '../../src/ownership/server-order.js'
 import { defaultParameters } from '../../stand-ins/engine/default-parameters.js'
-import { ModelSlots } from '../../stand-ins/engine/model-slots.js'
+import { EngineState } from '../../stand-ins/engine/engine-state.js'
 import { MemoryStore } from '../../stand-ins/platform/memory-store.js'
 
 const TIMES = { authority: 300, longestAction: 200, retryPause: 50 }
@@ -29,11 +29,11 @@
   now = 0
   object = { holder: undefined as string | undefined, version: 0 }
   readonly claims: ClaimState[] = [{ type: 'idle', attempt: 0 }, { type: 'idle', attempt: 0 }]
-  readonly server: ModelSlots
+  readonly server: EngineState
   private late: Array<{ readonly at: number, readonly run: () => void }> = []
 
   constructor (private readonly checksFencing: boolean) {
-    this.server = new ModelSlots({ ...defaultParameters, checksFencing, models: [], weightBytes: 1_000, weightBytesPerSecond: 100_000 })
+    this.server = new EngineState({ ...defaultParameters, checksFencing, models: [], weightBytes: 1_000, weightBytesPerSecond: 100_000 })
   }
 
   prove (i: number): void {
--- a/test/peers/regions-partitioned.test.ts
+++ b/test/peers/regions-partitioned.test.ts
@@ -10,7 +10,7 @@
 // considers the daemons of the other dead; callers of both are served, and an operator of one changes the configuration. When
 // the partition heals, all daemons see each other and use the new version.
 test('two regions are partitioned and rejoin, over processes', async t => {
-  const fleet = await Fleet.start({ canPart: true })
+  const fleet = await Fleet.start({ canPartition: true })
   t.teardown(async () => await fleet.stop())
   await Promise.all(REGIONS.slice(0, 2).map(async (region, n) => await fleet.addServer(`engine-${n}`, `domain-${n}`, { pool: 'charter-engines', kind: 'engine', region })))
   for (const [n, region] of REGIONS.entries()) await fleet.addDaemon(`entry-${n}`, `domain-${n}`, { region })
@@ -19,14 +19,14 @@
     const { members } = await fleet.operator('GET', daemon, '/operator/status') as { members: ReadonlyArray<{ instance: { name: string }, state: string }> }
     return members.filter(({ state }) => state === 'alive').map(({ instance }) => instance.name).sort().join()
   }
-  fleet.setParted(true)
+  fleet.setPartitioned(true)
   await fleet.waitUntil(async () => {
     const seen = await Promise.all(fleet.daemons.map(listAlive))
     return seen.every((names, n) => names === (n % 2 === 0 ? 'entry-0,entry-2' : 'entry-1,entry-3'))
   })
   for (const daemon of fleet.daemons) t.is((await new CallerClient(fleet.url(daemon), 'quay-desk-token').chat('berth-assistant', 'Which berth?')).status, 200)
   const changed = await fleet.operator('PUT', fleet.daemons[0]!, '/operator/configuration', { basedOn: version, put: { '95-parted.yaml': 'limits:\n  queueWait: 700\n' }, remove: [], by: 'north' })
-  fleet.setParted(false)
+  fleet.setPartitioned(false)
   await fleet.waitForMembers()
   await fleet.waitUntil(async () => {
     const known = await Promise.all(fleet.daemons.map(async daemon => (await fleet.operator('GET', daemon, '/operator/configuration')).version))
--- a/test/routing/model-stream.test.ts
+++ b/test/routing/model-stream.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava'
 import { request } from 'undici'
 import { SseReader } from '../../src/routing/sse-reader.js'
-import { answerWords } from '../../stand-ins/engine/answer-words.js'
+import { createAnswerWords } from '../../stand-ins/engine/create-answer-words.js'
 import { DispatchBench } from '../helpers/dispatch-bench.js'
 
 const TOKENS = 12
@@ -27,7 +27,7 @@
   test(`a stream continues at another server from the next token: ${JSON.stringify(fault)}`, async t => {
     const { bench, urls, stop } = await DispatchBench.start(2)
     t.teardown(stop)
-    const whole = answerWords(PROMPT, TOKENS).join(' ')
+    const whole = createAnswerWords(PROMPT, TOKENS).join(' ')
     for (const faulty of urls) {
       await setFaults(urls, {})
       await setFaults([faulty], fault)
@@ -46,7 +46,7 @@
   t.teardown(stop)
   await setFaults(urls, { cutAfter: 2 })
   const { text, last, failure } = await readStream(bench)
-  t.true(answerWords(PROMPT, TOKENS).join(' ').startsWith(text) && text !== '')
+  t.true(createAnswerWords(PROMPT, TOKENS).join(' ').startsWith(text) && text !== '')
   t.is(failure, 'server failed')
   t.is(JSON.parse(last).error.code, 'server-failed')
   t.is(JSON.parse(last).ran, 'unknown')
@@ -58,7 +58,7 @@
   t.teardown(stop)
   await setFaults(urls, { cutAfter: 3 })
   const { text, last } = await readStream(bench)
-  t.is(text, answerWords(PROMPT, TOKENS).slice(0, 3).join(' '))
+  t.is(text, createAnswerWords(PROMPT, TOKENS).slice(0, 3).join(' '))
   t.regex(last, /can't resume/)
 })
 
@@ -69,7 +69,7 @@
   for (const faulty of urls) {
     await setFaults(urls, {})
     await setFaults([faulty], { silenceAfter: 0 })
-    t.is((await readStream(bench)).text, answerWords(PROMPT, TOKENS).join(' '))
+    t.is((await readStream(bench)).text, createAnswerWords(PROMPT, TOKENS).join(' '))
   }
 })
 
--- a/test/routing/quarantine.test.ts
+++ b/test/routing/quarantine.test.ts
@@ -2,7 +2,7 @@
 import { request } from 'undici'
 import { CallerClient } from '../../harness/caller-client.js'
 import { Fleet } from '../../harness/fleet.js'
-import { answerWords } from '../../stand-ins/engine/answer-words.js'
+import { createAnswerWords } from '../../stand-ins/engine/create-answer-words.js'
 
 const ENGINES = 4
 const DAEMONS = 3
@@ -49,7 +49,7 @@
     t.false(text.includes('event: error'), text.slice(-400))
     t.is(status, 200)
     const words = text.split('\n').filter(line => line.startsWith('data: {')).map(line => JSON.parse(line.slice(6)).choices?.[0].delta.content)
-    t.is(words.join(''), answerWords(prompts[i]!, LONG).join(' '))
+    t.is(words.join(''), createAnswerWords(prompts[i]!, LONG).join(' '))
     t.true(text.endsWith('data: [DONE]\n\n'))
   }
   t.true(ended.length <= 2, ended.join())
--- a/test/routing/retry-storm.test.ts
+++ b/test/routing/retry-storm.test.ts
@@ -5,7 +5,7 @@
 import { CallerClient } from '../../harness/caller-client.js'
 import { Fleet } from '../../harness/fleet.js'
 import { readFolder } from '../../src/config/read-folder.js'
-import { answerWords } from '../../stand-ins/engine/answer-words.js'
+import { createAnswerWords } from '../../stand-ins/engine/create-answer-words.js'
 
 const ENGINES = 4
 const DAEMONS = 2
@@ -45,7 +45,7 @@
       const { status, text, headers } = await clients[(n + attempt) % DAEMONS]!.call('POST', '/v1/chat/completions', body, { 'x-request-id': id })
       if (attempt >= MAX_ATTEMPTS) throw new Error(`${id} is never answered: ${status} ${text}`)
       asks.push({ id, status, ran: status === 200 ? undefined : JSON.parse(text).ran, retryAfter: headers['retry-after'] as string | undefined })
-      if (status === 200) return t.is(JSON.parse(text).choices[0].message.content, answerWords(prompt, TOKENS).join(' '))
+      if (status === 200) return t.is(JSON.parse(text).choices[0].message.content, createAnswerWords(prompt, TOKENS).join(' '))
     }
   }
   const all = Array.from({ length: CALLERS }, async (_, n) => { for (let round = 0; round < ROUNDS; round++) await ask(n, round) })
--- a/test/routing/silent-server.test.ts
+++ b/test/routing/silent-server.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava'
 import { CallerClient } from '../../harness/caller-client.js'
 import { Fleet } from '../../harness/fleet.js'
-import { answerWords } from '../../stand-ins/engine/answer-words.js'
+import { createAnswerWords } from '../../stand-ins/engine/create-answer-words.js'
 
 const MODEL = 'berth-assistant'
 const PROMPT = 'When is high tide?'
@@ -26,7 +26,7 @@
   t.is((await fleet.readLog(holder)).length, 2)
   holder.child.signal('SIGSTOP')
 
-  const words = answerWords(PROMPT, TOKENS).join(' ')
+  const words = createAnswerWords(PROMPT, TOKENS).join(' ')
   const { text } = await streamed
   t.is(text.split('\n').filter(line => line.startsWith('data: {')).map(line => JSON.parse(line.slice(6)).choices[0].delta.content).join(''), words)
   t.true(text.endsWith('data: [DONE]\n\n'))
--- a/test/soak/check-record.test.ts
+++ b/test/soak/check-record.test.ts
@@ -8,8 +8,8 @@
 import { EventEngine } from '../../stand-ins/machines/event-engine.js'
 
 const list = <T>(make: (n: number) => T): readonly T[] => Array.from({ length: soakSize.events }, (_, i) => make(i + 1))
-const stream = (path: string): string => list(n => `id: ${n}\ndata: ${EventEngine.writeText(path, n)}\n\n`).join('')
-const result = (id: string): { readonly id: string, readonly state: string, readonly text: string } => ({ id, state: 'completed', text: list(n => EventEngine.writeText(`/drafts/${id}`, n)).join('\n') })
+const stream = (path: string): string => list(n => `id: ${n}\ndata: ${EventEngine.buildEventData(path, n)}\n\n`).join('')
+const result = (id: string): { readonly id: string, readonly state: string, readonly text: string } => ({ id, state: 'completed', text: list(n => EventEngine.buildEventData(`/drafts/${id}`, n)).join('\n') })
 
 const request: SentRequest = { id: 'r', daemon: 0, at: 5_000, until: 5_500, path: '/quotes/1', resumable: true, outcome: 'whole', status: 200, stamp: 'stamp-i-0', text: stream('/quotes/1') }
 const run: SeenRun = { id: 'r', path: '/quotes/1', engine: 'i-0', at: 5_010, resumedAfter: undefined, events: soakSize.events }
--- a/test/store/faults.test.ts
+++ b/test/store/faults.test.ts
@@ -19,7 +19,7 @@
 
 test('the same seed hits the same calls', t => {
   const faults: PlatformFaults = { lostReplies: 0.3, delayedWrites: { share: 0.3, delay: 1 }, seed: 5 }
-  const draw = (plan: FaultPlan): string => Array.from({ length: 50 }, () => plan.chooseWrite()).join()
+  const draw = (plan: FaultPlan): string => Array.from({ length: 50 }, () => plan.chooseWriteOutcome()).join()
   t.is(draw(new FaultPlan(faults)), draw(new FaultPlan(faults)))
   t.not(draw(new FaultPlan(faults)), draw(new FaultPlan({ ...faults, seed: 6 })))
 })
@@ -56,7 +56,7 @@
 test('the store in memory lands delayed writes when told, and reads what was kept', async t => {
   const store = new MemoryStore()
   await store.put('k', 'a', 1, 0)
-  store.keepOld()
+  store.keepSnapshot()
   store.fault = ({ call }) => call === 'put' ? { landLater: unknown } : 'old read'
   t.deepEqual((await store.put('k', 'a', 2, 1)).val, unknown)
   store.runDelayed()
--- a/test/whole/machines.test.ts
+++ b/test/whole/machines.test.ts
@@ -45,7 +45,7 @@
   return { status: answer.statusCode, headers: answer.headers, text: await answer.body.text() }
 }
 
-const writeStream = (path: string, events: number): string => Array.from({ length: events }, (_, i) => `id: ${i + 1}\ndata: ${EventEngine.writeText(path, i + 1)}\n\n`).join('')
+const writeStream = (path: string, events: number): string => Array.from({ length: events }, (_, i) => `id: ${i + 1}\ndata: ${EventEngine.buildEventData(path, i + 1)}\n\n`).join('')
 
 // A caller reads a stream; its server breaks off in the middle of an event. The stream goes on at the other server behind the
 // last whole event, under the first server's head, and the caller sees nothing of it. A stream that may not be resumed is cut.
@@ -55,13 +55,13 @@
   const { front } = fleet.daemons[0]!.ports
   try {
     t.like(await call(front, '/quotes/1'), { status: 200, text: writeStream('/quotes/1', 6) })
-    for (const engine of engines) engine.breaks = [3]
+    for (const engine of engines) engine.breakPoints = [3]
     const resumed = await call(front, '/quotes/2')
     t.like(resumed, { status: 200, text: writeStream('/quotes/2', 6) })
     const runs = engines.flatMap(({ id, runs }) => runs.filter(({ path }) => path === '/quotes/2').map(run => ({ ...run, server: id })))
     t.deepEqual(runs.map(({ resumedAfter }) => resumedAfter).sort(), [3, undefined])
     t.is(resumed.headers['x-response-stamp'], `stamp-${runs.find(({ resumedAfter }) => resumedAfter === undefined)!.server}`)
-    for (const engine of engines) engine.breaks = [3]
+    for (const engine of engines) engine.breakPoints = [3]
     await t.throwsAsync(call(front, '/berths/1'))
     t.is(engines.flatMap(({ runs }) => runs).filter(({ path }) => path === '/berths/1').length, 1)
     t.is((await call(front, '/nowhere/1')).status, 404)
@@ -90,7 +90,7 @@
     const seen = page.results
     await fleet.waitUntil('all results are there', async () => (page = await read(second.ports.front)).results.length === 4)
     t.deepEqual(page.results.slice(0, seen.length), seen)
-    const whole = (id: string): string => Array.from({ length: 20 }, (_, i) => EventEngine.writeText(`/drafts/${id}`, i + 1)).join('\n')
+    const whole = (id: string): string => Array.from({ length: 20 }, (_, i) => EventEngine.buildEventData(`/drafts/${id}`, i + 1)).join('\n')
     t.deepEqual([...page.results].sort((a, b) => a.id < b.id ? -1 : 1).slice(0, 3), ['a', 'b', 'c'].map(id => ({ id, state: 'completed', text: whole(id) })))
   } finally {
     await fleet.stop()
@@ -249,7 +249,7 @@
   const engine = new EventEngine({ id: 'i-1', events: 5 })
   const ways: RelayedPort[] = []
   const fleet = await startFleet(2, [engine], {
-    findStore: async (daemon, port) => {
+    resolveStoreAddress: async (daemon, port) => {
       const way = new RelayedPort(`127.60.${daemon}.1`, port)
       await way.start()
       ways.push(way)
