--- a/src/coordination/advance-membership.ts
+++ b/src/coordination/advance-membership.ts
@@ -1,13 +1,13 @@
 import { membershipMessages } from './build-membership-message.js'
 import type { MembershipContext as Context } from './membership-context.js'
-import { membershipMoves } from './membership-moves.js'
+import { membershipOperations } from './membership-operations.js'
 import type { MembershipState } from './membership-state.js'
 import type { MembershipStep as Step } from './membership-step.js'
 
 /** One tick in this many also pings a dead member that the list still knows: a healed cut is noticed by it. */
-const REVIVE_ONE_IN = 25
+const PING_DEAD_ONE_IN = 25
 
-const { buildStep, sendTo, listOthers, chooseSome, setRecord } = membershipMoves
+const { buildStep, sendTo, listOthers, chooseSome, setRecord } = membershipOperations
 
 /** One delay of our own loop must not look like the silence of others: what they sent still waits in our sockets. */
 function advanceDeadlines (state: MembershipState, { now, options }: Context): MembershipState {
@@ -30,7 +30,7 @@
   add(askHelpers)
   add(endProbes)
   add(beginProbe)
-  add(askListed)
+  add(askDeadMember)
   return step
 }
 
@@ -43,8 +43,8 @@
     if (record.status === 'suspect' && now - record.since >= deadAfter) next = setRecord(next, { ...record, status: 'dead', since: now })
     if (record.status === 'dead' && now - record.since >= options.forgetAfter) next = removeMember(next, record.name)
   }
-  const unheard = [...next.members.values()].some(({ incarnation, status }) => incarnation === 0 && status !== 'dead')
-  return next.settled || unheard ? next : { ...next, settled: true }
+  const unconfirmed = [...next.members.values()].some(({ incarnation, status }) => incarnation === 0 && status !== 'dead')
+  return next.settled || unconfirmed ? next : { ...next, settled: true }
 }
 
 function removeMember (state: MembershipState, name: string): MembershipState {
@@ -92,8 +92,8 @@
   return sendTo({ ...state, round: round.slice(1), sequence: n, probes, probedAt: now }, target, 'ping', n, context)
 }
 
-function askListed (state: MembershipState, context: Context): Step {
-  if (context.random.below(REVIVE_ONE_IN) > 0) return buildStep(state)
+function askDeadMember (state: MembershipState, context: Context): Step {
+  if (context.random.below(PING_DEAD_ONE_IN) > 0) return buildStep(state)
   const dead = listOthers(state, ['dead']).filter(name => state.listed.has(name))
   const [target] = chooseSome(dead, 1, context.random)
   return target === undefined ? buildStep(state) : sendTo(state, target, 'ping', 0, context)
--- a/src/coordination/create-version-state.ts
+++ b/src/coordination/create-version-state.ts
@@ -2,5 +2,5 @@
 
 /** A holder that knows no version yet. */
 export function createVersionState<Part> (): VersionState<Part> {
-  return { parts: new Map(), peers: [], asked: { version: 0, at: -Infinity }, told: -Infinity, fetched: { at: -Infinity, tries: 0 } }
+  return { parts: new Map(), peers: [], asked: { version: 0, at: -Infinity }, digestSentAt: -Infinity, fetched: { at: -Infinity, tries: 0 } }
 }
--- a/src/coordination/is-newer-record.ts
+++ b/src/coordination/is-newer-record.ts
@@ -2,13 +2,13 @@
 
 const RANK: Readonly<Record<MemberRecord['status'], number>> = { alive: 0, suspect: 1, dead: 2 }
 
-type Claim = Pick<MemberRecord, 'incarnation' | 'status'>
+type RecordVersion = Pick<MemberRecord, 'incarnation' | 'status'>
 
 /**
  * Whether `next` supersedes `known`: a higher incarnation does, and within one incarnation the graver status. So only
  * the member itself, by a new incarnation, takes back a suspicion or a death, whatever order the news come in.
  */
-export function isNewerRecord (next: Claim, known: Claim | undefined): boolean {
+export function isNewerRecord (next: RecordVersion, known: RecordVersion | undefined): boolean {
   if (known === undefined) return next.status !== 'suspect'
   if (next.incarnation !== known.incarnation) return next.incarnation > known.incarnation
   return RANK[next.status] > RANK[known.status]
--- a/src/coordination/lease.ts
+++ b/src/coordination/lease.ts
@@ -6,7 +6,7 @@
 import type { LeaseValue } from './lease-value.js'
 
 /** Ten seconds: three renewals may fail before it lapses, at a renewal every 2.5 s. */
-const DURATION = 10_000
+const DEFAULT_DURATION = 10_000
 /** Share of the duration that a contender waits beyond it, for clocks that run at different rates. */
 const RATE_SLACK = 0.1
 
@@ -57,7 +57,7 @@
     const read = await this.options.store.get<LeaseValue>(this.kind, this.options.name)
     if (read.err && read.val.type !== 'missing') return Err({ type: 'store', error: read.val })
     const present = read.ok ? read.val : undefined
-    const wait = present === undefined ? 0 : this.readWait(present)
+    const wait = present === undefined ? 0 : this.estimateWait(present)
     if (wait > 0) return Err({ type: 'held', by: present!.value.holder, wait })
     return await this.write(present?.version ?? 0)
   }
@@ -83,11 +83,11 @@
   }
 
   private get duration (): number {
-    return this.options.duration ?? DURATION
+    return this.options.duration ?? DEFAULT_DURATION
   }
 
   /** How long until the present holder's lease has lapsed for certain, in ms. */
-  private readWait ({ version, value }: StoredObject<LeaseValue>): number {
+  private estimateWait ({ version, value }: StoredObject<LeaseValue>): number {
     if (value.holder === this.options.holder || value.duration === 0) return 0
     const now = this.options.clock.now()
     if (this.seen.version !== version) this.seen = { version, since: now }
--- a/src/coordination/membership-moves.ts
+++ b/src/coordination/membership-operations.ts
@@ -29,4 +29,4 @@
 }
 
 /** The small steps that the larger ones are made of. */
-export const membershipMoves = { buildStep, sendTo, listOthers, chooseSome, setRecord }
+export const membershipOperations = { buildStep, sendTo, listOthers, chooseSome, setRecord }
--- a/src/coordination/membership.ts
+++ b/src/coordination/membership.ts
@@ -9,12 +9,12 @@
 import type { MembershipState } from './membership-state.js'
 import type { MembershipContext as Context } from './membership-context.js'
 import { membershipDefaults } from './membership-defaults.js'
-import { membershipMoves } from './membership-moves.js'
+import { membershipOperations } from './membership-operations.js'
 import type { MembershipStep as Step } from './membership-step.js'
 import { mergeRecords } from './merge-records.js'
 import { advanceMembership } from './advance-membership.js'
 
-const { buildStep, sendTo, listOthers, chooseSome, setRecord } = membershipMoves
+const { buildStep, sendTo, listOthers, chooseSome, setRecord } = membershipOperations
 
 const JOIN_FANOUT = 3
 
@@ -43,8 +43,8 @@
   switch (event.type) {
     case 'tick': return advanceMembership(state, context)
     case 'message': return handleMessage(state, event.from, event.message, context)
-    case 'listed': return takeList(state, event.members, context)
-    case 'paused': return dropBeliefs(state, event.incarnation, context)
+    case 'listed': return applyList(state, event.members, context)
+    case 'paused': return dropView(state, event.incarnation, context)
     case 'ended': return buildStep(dropEnded(state, event, context))
     case 'updated': return updateSelf(state, { data: event.data }, context)
     case 'leave': return updateSelf(state, { leaving: true }, context)
@@ -61,21 +61,21 @@
 function updateSelf (state: MembershipState, change: Partial<MemberRecord>, context: Context): Step {
   const self = state.members.get(state.self)!
   const next = setRecord(state, { ...self, ...change, incarnation: self.incarnation + 1, since: context.now })
-  return tellAll(next, context)
+  return sendToAll(next, context)
 }
 
 /**
  * Tells every other member at once: news of oneself are rare, and at 380 members they are 380 small messages. The
  * answers carry the new `sequence`, so that the caller can wait until all know.
  */
-function tellAll (state: MembershipState, context: Context): Step {
+function sendToAll (state: MembershipState, context: Context): Step {
   const self = state.members.get(state.self)!
   const n = state.sequence + 1
   const message: MembershipMessage = { type: 'ping', n, i: self.incarnation, h: membershipMessages.hashMembers(state.members), u: [membershipMessages.copyRecord(self)] }
   return { state: { ...state, sequence: n }, effects: listOthers(state, ['alive', 'suspect']).map(to => ({ to, message })) }
 }
 
-function takeList (state: MembershipState, listed: Extract<MembershipEvent, { type: 'listed' }>['members'], context: Context): Step {
+function applyList (state: MembershipState, listed: Extract<MembershipEvent, { type: 'listed' }>['members'], context: Context): Step {
   const others = listed.filter(({ name }) => name !== state.self)
   const fresh = others.filter(({ name }) => !state.members.has(name))
   const members = new Map(state.members)
@@ -87,7 +87,7 @@
 }
 
 /** What it believed of the others may have lapsed: they are known by name only, until they are heard again. */
-function dropBeliefs (state: MembershipState, incarnation: number, context: Context): Step {
+function dropView (state: MembershipState, incarnation: number, context: Context): Step {
   const { now, random } = context
   const members = new Map([...state.members].map(([name, record]) => {
     if (name === state.self) return [name, { ...record, incarnation, since: now }]
@@ -115,7 +115,7 @@
     case 'who': return sendTo(setRecord(merged, merged.members.get(merged.self)!), from, 'ack', 0, context)
     case 'ping': return addSync(sendTo(merged, from, 'ack', message.n, context), from, message, context)
     case 'ask': return relayProbe(merged, from, message, context)
-    case 'ack': return addSync(takeAnswer(merged, message.n, context), from, message, context)
+    case 'ack': return addSync(handleAck(merged, message.n, context), from, message, context)
     default: return failUnreachable(message)
   }
 }
@@ -134,7 +134,7 @@
   return sendTo({ ...state, sequence: n, relays }, of, 'ping', n, context)
 }
 
-function takeAnswer (state: MembershipState, n: number, context: Context): Step {
+function handleAck (state: MembershipState, n: number, context: Context): Step {
   const relay = state.relays.find(relay => relay.n === n)
   const next = { ...state, probes: state.probes.filter(probe => probe.n !== n), relays: state.relays.filter(relay => relay.n !== n) }
   return relay === undefined ? buildStep(next) : sendTo(next, relay.to, 'ack', relay.toN, context)
--- a/src/coordination/merge-records.ts
+++ b/src/coordination/merge-records.ts
@@ -13,8 +13,8 @@
   for (const [name, incarnation, status, leaving, data] of sent) {
     const known = (members ?? state.members).get(name)
     const next = name === state.self
-      ? rejectClaim(known!, incarnation, status)
-      : readRecord(known, { name, incarnation, status, leaving, data: data ?? known?.data ?? {}, since: now })
+      ? rejectSuspicion(known!, incarnation, status)
+      : filterRecord(known, { name, incarnation, status, leaving, data: data ?? known?.data ?? {}, since: now })
     if (next === undefined) continue
     members = (members ?? new Map(state.members)).set(name, { ...next, since: now })
     rumors = (rumors ?? new Map(state.rumors)).set(name, 0)
@@ -22,11 +22,11 @@
   return members === undefined ? state : { ...state, members, rumors: rumors! }
 }
 
-function readRecord (known: MemberRecord | undefined, next: MemberRecord): MemberRecord | undefined {
+function filterRecord (known: MemberRecord | undefined, next: MemberRecord): MemberRecord | undefined {
   return isNewerRecord(next, known) ? next : undefined
 }
 
-function rejectClaim (self: MemberRecord, incarnation: number, status: MemberRecord['status']): MemberRecord | undefined {
+function rejectSuspicion (self: MemberRecord, incarnation: number, status: MemberRecord['status']): MemberRecord | undefined {
   if (status === 'alive' ? incarnation <= self.incarnation : incarnation < self.incarnation) return undefined
   return { ...self, incarnation: incarnation + 1 }
 }
--- a/src/coordination/step-version.ts
+++ b/src/coordination/step-version.ts
@@ -27,7 +27,7 @@
 const DIGEST_PERIOD = 1_000
 const MESSAGE_BYTES = 400_000
 const STORE_PARTS = 8
-const ASKED_PARTS = 200
+const MAX_ASKED_PARTS = 200
 
 /**
  * Spreads a versioned configuration: a head, swapped by conditional update in a store, and content-addressed parts.
@@ -49,20 +49,20 @@
   const all = { askTimeout: ASK_TIMEOUT, digestPeriod: DIGEST_PERIOD, messageBytes: MESSAGE_BYTES, storeParts: STORE_PARTS, ...options }
   switch (event.type) {
     case 'message': return handleMessage(state, event.from, event.message, now, all)
-    case 'read head': return takeHead(state, event.head, { parts: event.parts }, now, all)
-    case 'read parts': return takeParts(state, event.parts, undefined, now, all)
-    case 'tick': return runTick({ ...state, peers: event.peers }, now, all)
+    case 'read head': return handleHead(state, event.head, { parts: event.parts }, now, all)
+    case 'read parts': return handleParts(state, event.parts, undefined, now, all)
+    case 'tick': return handleTick({ ...state, peers: event.peers }, now, all)
   }
 }
 
 function handleMessage<Part> (state: VersionState<Part>, from: string, message: VersionMessage<Part>, now: number, options: Options<Part>): Step<Part> {
   const send = (answer: VersionMessage<Part>): Step<Part> => ({ state, effects: [{ type: 'send', to: from, message: answer }] })
   switch (message.type) {
-    case 'digest': return takeDigest(state, from, message.version, now, options)
+    case 'digest': return handleDigest(state, from, message.version, now, options)
     case 'ask head': return state.head === undefined ? createStep(state) : send({ type: 'head', head: state.head })
-    case 'head': return takeHead(state, message.head, { from }, now, options)
-    case 'ask parts': return send({ type: 'parts', parts: choose(state, message.hashes, options) })
-    case 'parts': return takeParts(state, message.parts, from, now, options)
+    case 'head': return handleHead(state, message.head, { from }, now, options)
+    case 'ask parts': return send({ type: 'parts', parts: chooseParts(state, message.hashes, options) })
+    case 'parts': return handleParts(state, message.parts, from, now, options)
   }
 }
 
@@ -71,7 +71,7 @@
 }
 
 /** A peer that is behind gets our version in return, so that a paused holder catches up at its first word. */
-function takeDigest<Part> (state: VersionState<Part>, from: string, version: number, now: number, { askTimeout }: Options<Part>): Step<Part> {
+function handleDigest<Part> (state: VersionState<Part>, from: string, version: number, now: number, { askTimeout }: Options<Part>): Step<Part> {
   const own = state.head?.version ?? 0
   if (version < own) return { state, effects: [{ type: 'send', to: from, message: { type: 'digest', version: own } }] }
   if (version <= (state.target?.version ?? own)) return createStep(state)
@@ -80,7 +80,7 @@
 }
 
 /** An old read of the store or a late message has a lower version than one known, and ends here. */
-function takeHead<Part> (state: VersionState<Part>, head: VersionHead, { from, parts = [] }: { readonly from?: string, readonly parts?: readonly Part[] }, now: number, options: Options<Part>): Step<Part> {
+function handleHead<Part> (state: VersionState<Part>, head: VersionHead, { from, parts = [] }: { readonly from?: string, readonly parts?: readonly Part[] }, now: number, options: Options<Part>): Step<Part> {
   if (head.version <= (state.target?.version ?? state.head?.version ?? 0)) return createStep(state)
   const known = new Map([...parts.map(part => [options.hash(part), part] as const), ...state.parts])
   const next: VersionState<Part> = { ...state, parts: known, target: head, fetched: { at: now, tries: 0 } }
@@ -90,7 +90,7 @@
   return { state: next, effects: [askForParts(missing, peer)] }
 }
 
-function takeParts<Part> (state: VersionState<Part>, parts: readonly Part[], from: string | undefined, now: number, { hash }: Options<Part>): Step<Part> {
+function handleParts<Part> (state: VersionState<Part>, parts: readonly Part[], from: string | undefined, now: number, { hash }: Options<Part>): Step<Part> {
   const missing = new Set(listMissing(state))
   const wanted = parts.map(part => [hash(part), part] as const).filter(([key]) => missing.has(key))
   if (wanted.length === 0) return createStep(state)
@@ -100,11 +100,11 @@
 }
 
 /** Tells the drawn peers our version, and asks again for what didn't come. */
-function runTick<Part> (state: VersionState<Part>, now: number, { askTimeout, digestPeriod }: Options<Part>): Step<Part> {
-  const tell = now - state.told >= digestPeriod
+function handleTick<Part> (state: VersionState<Part>, now: number, { askTimeout, digestPeriod }: Options<Part>): Step<Part> {
+  const isDigestDue = now - state.digestSentAt >= digestPeriod
   const version = state.head?.version ?? 0
-  const digests = tell ? state.peers.map(to => ({ type: 'send' as const, to, message: { type: 'digest' as const, version } })) : []
-  const next = tell ? { ...state, told: now } : state
+  const digests = isDigestDue ? state.peers.map(to => ({ type: 'send' as const, to, message: { type: 'digest' as const, version } })) : []
+  const next = isDigestDue ? { ...state, digestSentAt: now } : state
   const again = state.target === undefined ? askHeadAgain(next, now, askTimeout) : askPartsAgain(next, now, askTimeout)
   return { state: again.state, effects: [...digests, ...again.effects] }
 }
@@ -139,12 +139,12 @@
 }
 
 function askForParts<Part> (missing: readonly string[], peer: string | undefined): VersionEffect<Part> {
-  const hashes = missing.slice(0, ASKED_PARTS)
+  const hashes = missing.slice(0, MAX_ASKED_PARTS)
   return peer === undefined ? { type: 'read parts', hashes } : { type: 'send', to: peer, message: { type: 'ask parts', hashes } }
 }
 
 /** The parts asked for that we have, as many as fit in one message; the asker asks again for the rest. */
-function choose<Part> (state: VersionState<Part>, hashes: readonly string[], { size, messageBytes }: Options<Part>): readonly Part[] {
+function chooseParts<Part> (state: VersionState<Part>, hashes: readonly string[], { size, messageBytes }: Options<Part>): readonly Part[] {
   const chosen: Part[] = []
   let bytes = 0
   for (const hash of hashes) {
--- a/src/coordination/version-state.ts
+++ b/src/coordination/version-state.ts
@@ -11,7 +11,7 @@
   /** Highest version heard of, who was asked for it and when (ms), so that many digests cause one question. */
   readonly asked: { readonly version: number, readonly from?: string, readonly at: number }
   /** When peers were last told our version (ms). */
-  readonly told: number
+  readonly digestSentAt: number
   /** When parts were last asked for (ms), and how often since the last ones came. */
   readonly fetched: { readonly at: number, readonly tries: number }
 }
--- a/src/ownership/batch-admission.ts
+++ b/src/ownership/batch-admission.ts
@@ -29,7 +29,7 @@
 export function stepBatchAdmission (state: BatchAdmissionState, event: BatchAdmissionEvent, now: number, options: BatchAdmissionOptions): Step {
   const next = applyEvent(state, event, now, options)
   if (event.type === 'started') return { state: next, effects: [] }
-  const effects = plan(next, event, now, { ...options, before: state.online })
+  const effects = planEffects(next, event, now, { ...options, before: state.online })
   const preempted = new Set(effects.flatMap(effect => effect.type === 'preempt' ? [effect.id] : []))
   const starts = effects.some(({ type }) => type === 'start')
   return {
@@ -64,7 +64,7 @@
   return full ? { ...state, limit: Math.min(maxInFlight, state.limit + 1), limitChangedAt: now } : state
 }
 
-function plan (state: BatchAdmissionState, event: BatchAdmissionEvent, now: number, { policy, maxInFlight, before }: BatchAdmissionOptions & { readonly before: number }): readonly BatchAdmissionEffect[] {
+function planEffects (state: BatchAdmissionState, event: BatchAdmissionEvent, now: number, { policy, maxInFlight, before }: BatchAdmissionOptions & { readonly before: number }): readonly BatchAdmissionEffect[] {
   switch (policy.type) {
     case 'none': return []
     case 'forward': return startUpTo(state, maxInFlight)
--- a/src/ownership/batch-run.ts
+++ b/src/ownership/batch-run.ts
@@ -14,11 +14,11 @@
 import { stepBatchAnswer } from './step-batch-answer.js'
 
 /** Longest silence before the answer begins and in its middle, ms: a silent connection then holds no slot for good. */
-const FIRST_PATIENCE = 30_000
-const BETWEEN_PATIENCE = 5_000
-const DEADLINE = 600_000
+const FIRST_TOKEN_TIMEOUT = 30_000
+const NEXT_TOKEN_TIMEOUT = 5_000
+const RUN_TIMEOUT = 600_000
 /** Statuses by which a server says that it can't serve now; the others say that the item can't be done. */
-const UNWELL = [408, 429]
+const RETRYABLE_STATUSES = [408, 429]
 
 interface BatchRunOptions {
   readonly work: BatchWork
@@ -59,12 +59,12 @@
   async run (): Promise<BatchOutcome> {
     const request = this.buildRequest()
     const { sender, server } = this.options
-    const opened = await sender.send(server, request, { body: request.body!, fingerprint: this.hash(), headerTimeout: FIRST_PATIENCE })
-    if (opened.err) return this.showUnopened(opened.val)
+    const opened = await sender.send(server, request, { body: request.body!, fingerprint: this.hash(), headerTimeout: FIRST_TOKEN_TIMEOUT })
+    if (opened.err) return this.buildUnopenedOutcome(opened.val)
     const { exchange } = opened.val
     const failure = exchange.isStream() ? await this.readStream(opened.val) : undefined
     if (failure !== undefined) return await this.fail(opened.val, failure)
-    if (!this.answer.done) return await this.readWhole(opened.val)
+    if (!this.answer.done) return await this.readUnstreamed(opened.val)
     opened.val.end('answered')
     return { type: 'finished', result: { type: 'completed', status: exchange.status, body: showBatchAnswer(this.answer, this.options.path.includes('chat')) } }
   }
@@ -84,7 +84,7 @@
       headers: { 'content-type': 'application/json' },
       body: Buffer.from(JSON.stringify({ ...work.item.body, ...stream, ...resume })),
       idempotent: work.idempotent,
-      deadline: now() + DEADLINE,
+      deadline: now() + RUN_TIMEOUT,
       limit: Infinity,
       signal: AbortSignal.any([work.signal, this.abort.signal]),
       mayStart: () => work.mayStart()
@@ -101,17 +101,17 @@
   private async readStream (open: OpenExchange): Promise<SendFailure | undefined> {
     const reader = new SseReader()
     for (let last: number | undefined; !this.answer.done;) {
-      const bytes = await open.exchange.read(last === undefined ? FIRST_PATIENCE : BETWEEN_PATIENCE)
+      const bytes = await open.exchange.read(last === undefined ? FIRST_TOKEN_TIMEOUT : NEXT_TOKEN_TIMEOUT)
       if (bytes.err) return bytes.val
       if (bytes.val === undefined) return { why: 'cut', sent: true, detail: 'it ended before it was whole' }
-      const known = this.answer.tokens.length
+      const tokenCount = this.answer.tokens.length
       for (const { data } of reader.push(bytes.val)) {
         const next = stepBatchAnswer(this.answer, data)
         if (next === undefined) return { why: 'cut', sent: true, detail: 'an event that is no chunk' }
         this.answer = next
       }
       const now = this.options.now()
-      if (this.answer.tokens.length === known) continue
+      if (this.answer.tokens.length === tokenCount) continue
       this.options.onTokens(last === undefined ? undefined : now - last)
       last = now
       if (this.stopsAfterRead && this.answer.finish === undefined) this.stop()
@@ -119,12 +119,12 @@
     return undefined
   }
 
-  private async readWhole (open: OpenExchange): Promise<BatchOutcome> {
-    const whole = await readToEnd(open.exchange, () => FIRST_PATIENCE)
+  private async readUnstreamed (open: OpenExchange): Promise<BatchOutcome> {
+    const whole = await readToEnd(open.exchange, () => FIRST_TOKEN_TIMEOUT)
     if (whole.err) return await this.fail(open, whole.val)
     const { status } = open.exchange
     const body = parse(whole.val.toString())
-    if (body === undefined || status >= 500 || UNWELL.includes(status)) return await this.fail(open, { why: 'cut', sent: true, detail: `status ${status}` })
+    if (body === undefined || status >= 500 || RETRYABLE_STATUSES.includes(status)) return await this.fail(open, { why: 'cut', sent: true, detail: `status ${status}` })
     open.end('answered')
     if (status < 300) return { type: 'finished', result: { type: 'completed', status, body } }
     return { type: 'finished', result: { type: 'failed', cause: `status-${status}`, detail: String(body.error?.message ?? body.detail) } }
@@ -132,14 +132,14 @@
 
   private async fail (open: OpenExchange, failure: SendFailure): Promise<BatchOutcome> {
     await open.fail(failure)
-    return this.showStopped(true)
+    return this.buildStoppedOutcome(true)
   }
 
-  private showUnopened ({ why, sent }: SendFailure): BatchOutcome {
-    return why === 'unreachable' || why === 'withheld' ? { type: why } : this.showStopped(sent)
+  private buildUnopenedOutcome ({ why, sent }: SendFailure): BatchOutcome {
+    return why === 'unreachable' || why === 'withheld' ? { type: why } : this.buildStoppedOutcome(sent)
   }
 
-  private showStopped (ran: boolean): BatchOutcome {
+  private buildStoppedOutcome (ran: boolean): BatchOutcome {
     return { type: 'stopped', ran, tokens: this.options.canResume ? this.answer.tokens : [] }
   }
 }
--- a/src/ownership/batch-runner.ts
+++ b/src/ownership/batch-runner.ts
@@ -25,9 +25,9 @@
 import { WorkQueue } from './work-queue.js'
 
 const TICK_PERIOD = 50
-const WANT_PERIOD = 500
+const CAPACITY_PERIOD = 500
 /** How long after the last item was at hand it looks every tick for more, ms; after that at each `want`. */
-const LOOK_ON = 60_000
+const ACTIVE_PERIOD = 60_000
 
 /**
  * Runs batch items on the servers that this daemon owns: takes them from the batch source as admission allows, and
@@ -38,10 +38,10 @@
   private readonly batches = new Map<string, ServerBatch>()
   private readonly running = new Set<Promise<void>>()
   private readonly policy: BatchPolicy
-  private wanted = new Set<string>()
+  private reportedServices = new Set<string>()
   private draining = false
-  private lastWork = -Infinity
-  private readonly look: OnDemandTask
+  private lastWorkAt = -Infinity
+  private readonly activeTicks: OnDemandTask
   private cancel = (): void => {}
 
   constructor (
@@ -52,23 +52,23 @@
     @inject(Sender) private readonly sender: Sender,
     @inject(ServedModels) private readonly models: ServedModels,
     @inject(WorkQueue) private readonly queue: WorkQueue,
-    @inject(Extensions) private readonly added: Extensions,
+    @inject(Extensions) private readonly contributions: Extensions,
     @inject(RunSettler) private readonly settler: RunSettler,
     @inject(Metrics) private readonly metrics: Metrics,
     @inject(tokens.settings) settings: Settings,
     @inject(tokens.clock) private readonly clock: Clock
   ) {
     this.policy = readBatchPolicy(settings)
-    this.look = new OnDemandTask({ clock, period: TICK_PERIOD, run: () => this.tick() })
+    this.activeTicks = new OnDemandTask({ clock, period: TICK_PERIOD, run: () => this.tick() })
   }
 
   async start (): Promise<void> {
     this.owners.subscribe(() => this.update())
-    this.online.subscribe(server => this.batches.get(server)?.tell({ type: 'online', count: this.online.count(server) }))
-    this.watch.subscribe(server => this.batches.get(server)?.tell({ type: 'reported', sequences: this.watch.getReported(server) }))
-    for (const source of this.added.collect(batchSourcePoint)) source.subscribe(() => this.handleNews())
+    this.online.subscribe(server => this.batches.get(server)?.handle({ type: 'online', count: this.online.count(server) }))
+    this.watch.subscribe(server => this.batches.get(server)?.handle({ type: 'reported', sequences: this.watch.getReported(server) }))
+    for (const source of this.contributions.collect(batchSourcePoint)) source.subscribe(() => this.handleReady())
     this.metrics.gauge('batch_streams', () => [...this.batches.values()].reduce((sum, batch) => sum + batch.count, 0))
-    this.cancel = this.clock.every(WANT_PERIOD, () => this.want())
+    this.cancel = this.clock.every(CAPACITY_PERIOD, () => this.reportCapacity())
   }
 
   /** Gives everything back as soon as its next tokens have come; what ends with them counts. */
@@ -80,7 +80,7 @@
 
   async stop (): Promise<void> {
     this.cancel()
-    this.look.stop()
+    this.activeTicks.stop()
   }
 
   /** Batch runs under way at the server. */
@@ -98,33 +98,33 @@
     this.queue.keepOnly(owned.filter(server => this.watch.getState(server) === 'open'))
   }
 
-  private handleNews (): void {
-    if (this.tick()) this.look.wake()
+  private handleReady (): void {
+    if (this.tick()) this.activeTicks.wake()
   }
 
   /** Whether an item was at hand not long ago, so that another may be any moment. */
   private tick (): boolean {
     if (this.draining) return false
-    for (const server of this.owners.listOwned()) this.open(server)?.tick()
-    if (this.running.size > 0 || this.queue.isBusy) this.lastWork = this.clock.now()
-    return this.clock.now() < this.lastWork + LOOK_ON
+    for (const server of this.owners.listOwned()) this.findBatch(server)?.tick()
+    if (this.running.size > 0 || this.queue.isBusy) this.lastWorkAt = this.clock.now()
+    return this.clock.now() < this.lastWorkAt + ACTIVE_PERIOD
   }
 
   /** Says what could run here, so that enough is claimed ahead. */
-  private want (): void {
+  private reportCapacity (): void {
     if (this.draining) return
     this.update()
-    this.handleNews()
-    const slots = new Map([...this.wanted].map(service => [service, 0]))
+    this.handleReady()
+    const capacities = new Map([...this.reportedServices].map(service => [service, 0]))
     for (const [server, batch] of this.batches) {
-      const open = this.watch.getState(server) === 'open' ? batch.slots : 0
-      for (const { service } of this.models.list(server)) slots.set(service, (slots.get(service) ?? 0) + open)
+      const capacity = this.watch.getState(server) === 'open' ? batch.capacity : 0
+      for (const { service } of this.models.list(server)) capacities.set(service, (capacities.get(service) ?? 0) + capacity)
     }
-    for (const source of this.added.collect(batchSourcePoint)) for (const [service, count] of slots) source.want(service, count)
-    this.wanted = new Set(slots.keys())
+    for (const source of this.contributions.collect(batchSourcePoint)) for (const [service, count] of capacities) source.want(service, count)
+    this.reportedServices = new Set(capacities.keys())
   }
 
-  private open (server: string): ServerBatch | undefined {
+  private findBatch (server: string): ServerBatch | undefined {
     const maxInFlight = this.models.findLimit(server)
     if (maxInFlight === undefined) return this.batches.get(server)
     const betweenTokens = Math.min(...this.models.list(server).map(({ model }) => model.betweenTokens))
@@ -134,31 +134,31 @@
     const batch = known ?? new ServerBatch({ admission, clock: this.clock, start: prefill => this.startOn(server, prefill) })
     if (known === undefined) {
       this.batches.set(server, batch)
-      batch.tell({ type: 'online', count: this.online.count(server) })
+      batch.handle({ type: 'online', count: this.online.count(server) })
     }
     return batch
   }
 
   private startOn (server: string, prefill: number): StartedRun | undefined {
-    if (this.draining || this.watch.getState(server) !== 'open') return this.miss('server not open')
+    if (this.draining || this.watch.getState(server) !== 'open') return this.recordMiss('server not open')
     const work = this.queue.take(server)
-    if (work === undefined) return this.miss('no item ready')
-    this.lastWork = this.clock.now()
+    if (work === undefined) return this.recordMiss('no item ready')
+    this.lastWorkAt = this.clock.now()
     const cost = estimatePrefill(work, this.settler.recent.isCached(work.id, server, this.clock.now()))
     if (cost > prefill) {
       this.queue.hold(server, work)
-      return this.miss('prefill')
+      return this.recordMiss('prefill')
     }
-    return this.begin(server, work, cost)
+    return this.startRun(server, work, cost)
   }
 
   /** Counts a start that admission allowed and that didn't come about. */
-  private miss (why: 'server not open' | 'no item ready' | 'prefill'): undefined {
+  private recordMiss (why: 'server not open' | 'no item ready' | 'prefill'): undefined {
     this.metrics.count('batch_starts_missed_total', { why })
     return undefined
   }
 
-  private begin (server: string, work: BatchWork, prefill: number): StartedRun | undefined {
+  private startRun (server: string, work: BatchWork, prefill: number): StartedRun | undefined {
     const target = this.servers.find(server)
     const model = this.models.list(server).find(({ service }) => service === work.service)?.model
     if (target === undefined || model === undefined) {
@@ -173,19 +173,19 @@
       sender: this.sender,
       now: () => this.clock.now(),
       canResume: model.resume === true,
-      onTokens: gap => gap === undefined ? batch.tell({ type: 'prefilled', id: work.id }) : batch.observe(gap)
+      onTokens: gap => gap === undefined ? batch.handle({ type: 'prefilled', id: work.id }) : batch.observe(gap)
     })
-    let gaveWay = false
+    let preempted = false
     this.track(run.run().then(outcome => {
       // Ended first: an item given back may be started here again at once, under the same id.
       batch.end(work.id)
-      this.settler.settle(work, server, outcome, gaveWay)
+      this.settler.settle(work, server, outcome, preempted)
     }))
     return {
       id: work.id,
       prefill,
       stop: options => {
-        gaveWay = true
+        preempted = true
         run.stop(options)
       }
     }
--- a/src/ownership/create-batch-admission.ts
+++ b/src/ownership/create-batch-admission.ts
@@ -2,7 +2,7 @@
 import type { BatchAdmissionState } from './batch-admission-state.js'
 
 /** Share of the streams a server may have that are allowed before any has been observed. */
-const FIRST_SHARE = 0.5
+const INITIAL_SHARE = 0.5
 
 /** Batch admission on a server of which nothing is known yet. */
 export function createBatchAdmission ({ maxInFlight }: Pick<BatchAdmissionOptions, 'maxInFlight'>): BatchAdmissionState {
@@ -11,7 +11,7 @@
     busySince: -Infinity,
     reported: 0,
     streams: [],
-    limit: Math.max(1, Math.floor(maxInFlight * FIRST_SHARE)),
+    limit: Math.max(1, Math.floor(maxInFlight * INITIAL_SHARE)),
     limitChangedAt: 0,
     gap: 0,
     peak: 0,
--- a/src/ownership/is-streamable.ts
+++ b/src/ownership/is-streamable.ts
@@ -1,10 +1,10 @@
 /** Fields whose effect on an answer can't be put together again from pieces of text. */
-const WHOLE_ONLY = ['tools', 'functions', 'logprobs', 'echo', 'best_of', 'audio']
+const UNSTREAMABLE_FIELDS = ['tools', 'functions', 'logprobs', 'echo', 'best_of', 'audio']
 
 /**
  * Whether an item's answer can be streamed and put together, and so gives way without losing its tokens. The others
  * run whole, and start anew when they gave way.
  */
 export function isStreamable (body: Readonly<Record<string, unknown>>): boolean {
-  return (body.n ?? 1) === 1 && WHOLE_ONLY.every(field => !body[field])
+  return (body.n ?? 1) === 1 && UNSTREAMABLE_FIELDS.every(field => !body[field])
 }
--- a/src/ownership/load-slots.ts
+++ b/src/ownership/load-slots.ts
@@ -18,7 +18,7 @@
   /** Loads that the weight store's rate allows at once. */
   readonly count: number
   /** Longest time a slot is held without being claimed again, ms. */
-  readonly keep: number
+  readonly duration: number
 }
 
 type SlotObject = Pick<StoredObject<Slot>, 'name' | 'version' | 'value'>
@@ -43,9 +43,9 @@
    * then takes two for one load. So it counts as refused, and the next call finds the slot by the server's name.
    */
   async claim (server: string): Promise<boolean> {
-    const mine = this.held.get(server)
-    if (mine !== undefined && await this.write(server, mine) === 'ok') return true
-    for (const slot of await this.listOpen(server)) {
+    const current = this.held.get(server)
+    if (current !== undefined && await this.write(server, current) === 'ok') return true
+    for (const slot of await this.listClaimable(server)) {
       const written = await this.write(server, slot)
       if (written === 'ok') return true
       if (written !== 'conflict') break
@@ -56,8 +56,8 @@
 
   /** Keeps the slot of a server that loads, with a write only when half of its time is over. */
   async renew (server: string): Promise<void> {
-    const mine = this.held.get(server)
-    if (mine === undefined || mine.until - this.options.date() <= this.options.keep / 2) await this.claim(server)
+    const current = this.held.get(server)
+    if (current === undefined || current.until - this.options.date() <= this.options.duration / 2) await this.claim(server)
   }
 
   /**
@@ -93,8 +93,8 @@
   }
 
   private async write (server: string, { name, version }: Pick<SlotObject, 'name' | 'version'>): Promise<'ok' | StoreError['type']> {
-    const { store, date, keep } = this.options
-    const until = date() + keep
+    const { store, date, duration } = this.options
+    const until = date() + duration
     const written = await store.put<Slot>(KIND, name, { server, until }, version, 'background')
     if (written.err) return written.val.type
     this.held.set(server, { name, version: written.val.version, until })
@@ -102,7 +102,7 @@
   }
 
   /** The slots that the server may claim: its own, or else those that are free. None while the platform is out. */
-  private async listOpen (server: string): Promise<readonly SlotObject[]> {
+  private async listClaimable (server: string): Promise<readonly SlotObject[]> {
     const slots = await this.list() ?? []
     const own = slots.filter(({ value }) => value.server === server)
     return own.length > 0 ? own : slots.filter(({ value }) => value.until <= this.options.date())
--- a/src/ownership/online-load.ts
+++ b/src/ownership/online-load.ts
@@ -20,7 +20,7 @@
  * How long news waits for more, ms. That of an end is as urgent as that of a beginning: batch leaves the server empty until
  * it comes, which is several steps for each stretch of idle time.
  */
-const NEWS_DELAY = 3
+const REPORT_DELAY = 3
 const CHECK_PERIOD = 1_000
 /**
  * How often a level that hasn't changed is told again, ms. Frames are lost only with their connection, and a level is
@@ -28,11 +28,11 @@
  */
 const REPEAT_PERIOD = 5_000
 /** Daemons of earlier versions of the protocol forget a level after 3.5 s. */
-const LONG_KEEP_VERSION = 3
+const LONG_LIFETIME_VERSION = 3
 const MESSAGE_TYPE = 'online'
 
 /** What an owner was told last: when, over which session, and whether of nothing more. */
-interface Told { readonly at: number, readonly session: ReturnType<PeerLinks['findSession']>, readonly empty: boolean }
+interface SentReport { readonly at: number, readonly session: ReturnType<PeerLinks['findSession']>, readonly empty: boolean }
 
 /**
  * Online requests in flight at backend servers. Each daemon tells a server's owner of its own, as they begin and end,
@@ -43,19 +43,19 @@
 export class OnlineLoad implements Part {
   readonly extensions = [
     exchangeObserverPoint.of({
-      onBegin: (request, server) => this.change(request, server, 1),
-      onEnd: (request, server) => this.change(request, server, -1)
+      onBegin: (request, server) => this.updateOwn(request, server, 1),
+      onEnd: (request, server) => this.updateOwn(request, server, -1)
     }),
-    peerHandlerPoint.of({ type: MESSAGE_TYPE, handle: (message, from) => this.hear(message, from) })
+    peerHandlerPoint.of({ type: MESSAGE_TYPE, handle: (message, from) => this.receive(message, from) })
   ]
 
   /** This daemon's own. */
   private readonly own = new Map<string, number>()
   private state: OnlineCountsState = { servers: new Map(), newest: new Map() }
-  private readonly due = new Map<string, () => void>()
+  private readonly scheduled = new Map<string, () => void>()
   private readonly listeners = new Set<(server: string) => void>()
-  private readonly told = new Map<string, Told>()
-  private number: number
+  private readonly sent = new Map<string, SentReport>()
+  private lastNumber: number
   private cancel = (): void => {}
 
   constructor (
@@ -65,16 +65,16 @@
     @inject(tokens.settings) private readonly settings: Settings,
     @inject(tokens.clock) private readonly clock: Clock
   ) {
-    this.number = clock.date()
+    this.lastNumber = clock.date()
   }
 
   async start (): Promise<void> {
-    this.cancel = this.clock.every(CHECK_PERIOD, () => this.repeat())
+    this.cancel = this.clock.every(CHECK_PERIOD, () => this.repeatReports())
   }
 
   async stop (): Promise<void> {
     this.cancel()
-    for (const cancel of this.due.values()) cancel()
+    for (const cancel of this.scheduled.values()) cancel()
   }
 
   /** Online requests in flight at the server, as its owner knows them. */
@@ -87,55 +87,55 @@
     this.listeners.add(listener)
   }
 
-  private change ({ work }: ServerRequest, server: string, by: number): void {
+  private updateOwn ({ work }: ServerRequest, server: string, by: number): void {
     if (work !== 'online') return
     const count = (this.own.get(server) ?? 0) + by
     if (count > 0) this.own.set(server, count)
     else this.own.delete(server)
     const owner = this.owners.findOwner(server)
-    if (owner === this.settings.instance) this.tell(owner)
-    else if (owner !== undefined) this.plan(owner)
+    if (owner === this.settings.instance) this.report(owner)
+    else if (owner !== undefined) this.schedule(owner)
   }
 
-  private plan (owner: string): void {
-    if (!this.due.has(owner)) this.due.set(owner, this.clock.after(NEWS_DELAY, () => this.tell(owner)))
+  private schedule (owner: string): void {
+    if (!this.scheduled.has(owner)) this.scheduled.set(owner, this.clock.after(REPORT_DELAY, () => this.report(owner)))
   }
 
-  private tell (owner: string): void {
-    this.due.get(owner)?.()
-    this.due.delete(owner)
+  private report (owner: string): void {
+    this.scheduled.get(owner)?.()
+    this.scheduled.delete(owner)
     const counts = [...this.own].filter(([server]) => this.owners.findOwner(server) === owner)
-    const number = ++this.number
+    const number = ++this.lastNumber
     if (owner === this.settings.instance) this.apply({ type: 'told', reporter: owner, number, counts: new Map(counts) })
     else this.links.send(owner, { type: MESSAGE_TYPE, number, counts: Object.fromEntries(counts) }, MESSAGE_TYPE)
-    this.told.set(owner, { at: this.clock.now(), session: this.links.findSession(owner), empty: counts.length === 0 })
+    this.sent.set(owner, { at: this.clock.now(), session: this.links.findSession(owner), empty: counts.length === 0 })
   }
 
   /** Tells again whom a frame may not have reached, so that a lost frame or a new owner heals. */
-  private repeat (): void {
+  private repeatReports (): void {
     const alive = new Set(this.members.all().map(({ instance }) => instance.name))
-    for (const owner of this.told.keys()) if (!alive.has(owner)) this.told.delete(owner)
+    for (const owner of this.sent.keys()) if (!alive.has(owner)) this.sent.delete(owner)
     const owners = [...this.own.keys()].map(server => this.owners.findOwner(server))
-    for (const owner of new Set([...this.told.keys(), ...owners])) {
+    for (const owner of new Set([...this.sent.keys(), ...owners])) {
       if (owner === undefined) continue
-      if (this.isDue(owner)) this.tell(owner)
-      else if (this.told.get(owner)?.empty === true) this.told.delete(owner)
+      if (this.isDue(owner)) this.report(owner)
+      else if (this.sent.get(owner)?.empty === true) this.sent.delete(owner)
     }
     for (const reporter of this.state.newest.keys()) if (!alive.has(reporter)) this.apply({ type: 'lost', reporter })
     this.apply({ type: 'tick' })
   }
 
   private isDue (owner: string): boolean {
-    const told = this.told.get(owner)
-    if (told === undefined) return true
-    if (owner === this.settings.instance) return !told.empty
+    const sentReport = this.sent.get(owner)
+    if (sentReport === undefined) return true
+    if (owner === this.settings.instance) return !sentReport.empty
     const session = this.links.findSession(owner)
-    if (session === undefined || session !== told.session) return true
-    if (told.empty) return false
-    return session.agreedVersion < LONG_KEEP_VERSION || this.clock.now() >= told.at + REPEAT_PERIOD
+    if (session === undefined || session !== sentReport.session) return true
+    if (sentReport.empty) return false
+    return session.agreedVersion < LONG_LIFETIME_VERSION || this.clock.now() >= sentReport.at + REPEAT_PERIOD
   }
 
-  private hear ({ number, counts }: PeerMessage, from: string): void {
+  private receive ({ number, counts }: PeerMessage, from: string): void {
     if (typeof number !== 'number' || typeof counts !== 'object' || counts === null) return
     const valid = Object.entries(counts).filter(([, count]) => Number.isSafeInteger(count))
     this.apply({ type: 'told', reporter: from, number, counts: new Map(valid) })
--- a/src/ownership/owner-table.ts
+++ b/src/ownership/owner-table.ts
@@ -1,7 +1,7 @@
 import { rankOwners } from '../coordination/rank-owners.js'
 
 /** A server and a daemon as far as ownership needs them. */
-interface Placed { readonly name: string, readonly region: string }
+interface RegionMember { readonly name: string, readonly region: string }
 
 interface Region { readonly daemons: ReadonlySet<string>, readonly owners: ReadonlyMap<string, string> }
 
@@ -18,7 +18,7 @@
 export class OwnerTable {
   private regions = new Map<string, Region>()
 
-  update (servers: readonly Placed[], daemons: readonly Placed[]): void {
+  update (servers: readonly RegionMember[], daemons: readonly RegionMember[]): void {
     const next = new Map<string, Region>()
     for (const name of new Set(servers.map(({ region }) => region))) {
       const names = daemons.filter(({ region }) => region === name).map(daemon => daemon.name)
--- a/src/ownership/plan-preempting.ts
+++ b/src/ownership/plan-preempting.ts
@@ -7,10 +7,10 @@
  * Prompt tokens of batch that may wait or prefill in the engine at once while nothing online runs there. They lengthen the
  * first steps of a refill, for which the next online request waits.
  */
-const PREFILL_IDLE = 192
+const MAX_PREFILL_IDLE = 192
 /** The same for starts beside online requests, and how many there are at once; items that the engine has cached stay within it. */
-const PREFILL_BESIDE_ONLINE = 64
-const STARTS_BESIDE_ONLINE = 3
+const MAX_PREFILL_BESIDE_ONLINE = 64
+const MAX_STARTS_BESIDE_ONLINE = 3
 /** Share of the online peak up to which batch may fill beside online requests. */
 const PEAK_SHARE = 0.75
 /**
@@ -23,7 +23,7 @@
 const FREE_TOKENS = 16
 
 /** ms without an online request after which a server counts as one that has none. */
-const QUIET = 60_000
+const QUIET_PERIOD = 60_000
 
 interface PlanOptions {
   readonly maxInFlight: number
@@ -65,10 +65,10 @@
   if (excess.length > 0) return excess.map(({ id }) => ({ type: 'preempt', id }))
   const count = allowed - streams.length
   if (count <= 0) return []
-  const quiet = idle && (peak === 0 || now >= peakAt + QUIET)
+  const quiet = idle && (peak === 0 || now >= peakAt + QUIET_PERIOD)
   const largest = paced && !quiet && estimatePrefillDebt(state, now) > 0 ? FREE_TOKENS : Infinity
   const starting = streams.reduce((sum, { prefilled, prefill }) => sum + (prefilled ? 0 : prefill), 0)
-  if (idle) return starting < PREFILL_IDLE ? [{ type: 'start', count, prefill: PREFILL_IDLE - starting, largest }] : []
+  if (idle) return starting < MAX_PREFILL_IDLE ? [{ type: 'start', count, prefill: MAX_PREFILL_IDLE - starting, largest }] : []
   const paused = starting > 0 || now < state.busySince + state.gap || now < state.lastStart + START_PAUSE + PAUSE_PER_TOKEN * Math.max(0, state.lastPrefill - FREE_TOKENS)
-  return paused ? [] : [{ type: 'start', count: Math.min(count, STARTS_BESIDE_ONLINE), prefill: PREFILL_BESIDE_ONLINE, largest }]
+  return paused ? [] : [{ type: 'start', count: Math.min(count, MAX_STARTS_BESIDE_ONLINE), prefill: MAX_PREFILL_BESIDE_ONLINE, largest }]
 }
--- a/src/ownership/run-settler.ts
+++ b/src/ownership/run-settler.ts
@@ -21,11 +21,11 @@
   ) {}
 
   /** `gaveWay` tells whether the run was closed for online requests. */
-  settle (work: BatchWork, server: string, outcome: BatchOutcome, gaveWay: boolean): void {
+  settle (work: BatchWork, server: string, outcome: BatchOutcome, preempted: boolean): void {
     if (outcome.type === 'finished') return work.finish(outcome.result)
     if (outcome.type === 'unreachable') this.watch.markDown(server)
     if (outcome.type !== 'stopped') return this.settleUnsent(work, server)
-    const why = work.signal.aborted ? 'aborted' : gaveWay ? 'gave way' : 'server failed'
+    const why = work.signal.aborted ? 'aborted' : preempted ? 'gave way' : 'server failed'
     if (why === 'gave way') {
       this.recent.record(work.id, server, this.clock.now())
       this.metrics.count('batch_preemptions_total')
--- a/src/ownership/served-models.ts
+++ b/src/ownership/served-models.ts
@@ -4,7 +4,7 @@
 import { Servers } from '../routing/servers.js'
 
 /** A model service that a server's pool serves. */
-interface Served { readonly service: string, readonly model: Model }
+interface ServedModel { readonly service: string, readonly model: Model }
 
 /** Which model services each backend server is for, by the configuration and the server's pool. */
 @scoped(Lifecycle.ContainerScoped)
@@ -14,7 +14,7 @@
     @inject(Servers) private readonly servers: Servers
   ) {}
 
-  list (server: string): readonly Served[] {
+  list (server: string): readonly ServedModel[] {
     const { services, models } = this.configuration.value
     const pool = this.servers.findPool(server)
     return Object.entries(services).flatMap(([service, { kind, pool: served, model }]) => {
--- a/src/ownership/server-batch.ts
+++ b/src/ownership/server-batch.ts
@@ -8,7 +8,7 @@
 import type { StartedRun } from './started-run.js'
 
 /** How long a run that is stopped without haste may wait for its next tokens, ms. */
-const LAST_READ = 250
+const LAST_READ_TIMEOUT = 250
 
 interface ServerBatchOptions {
   readonly admission: BatchAdmissionOptions
@@ -36,11 +36,11 @@
   }
 
   /** Items that it could run at once. */
-  get slots (): number {
+  get capacity (): number {
     return this.admission.policy.type === 'none' ? 0 : Math.ceil(this.state.limit)
   }
 
-  tell (event: BatchAdmissionEvent): void {
+  handle (event: BatchAdmissionEvent): void {
     const { state, effects } = stepBatchAdmission(this.state, event, this.options.clock.now(), this.admission)
     this.state = state
     for (const effect of effects) {
@@ -54,14 +54,14 @@
   }
 
   tick (): void {
-    if (this.gaps.length > 0) this.tell({ type: 'observed', gap: this.gaps.reduce((sum, gap) => sum + gap, 0) / this.gaps.length })
+    if (this.gaps.length > 0) this.handle({ type: 'observed', gap: this.gaps.reduce((sum, gap) => sum + gap, 0) / this.gaps.length })
     this.gaps.length = 0
-    this.tell({ type: 'tick' })
+    this.handle({ type: 'tick' })
   }
 
   end (id: string): void {
     this.stops.delete(id)
-    this.tell({ type: 'ended', id })
+    this.handle({ type: 'ended', id })
   }
 
   /**
@@ -75,7 +75,7 @@
     }
     stopEach(true)
     const { clock } = this.options
-    clock.after(LAST_READ / 2, () => clock.after(LAST_READ / 2, () => stopEach(false)))
+    clock.after(LAST_READ_TIMEOUT / 2, () => clock.after(LAST_READ_TIMEOUT / 2, () => stopEach(false)))
   }
 
   /**
@@ -94,7 +94,7 @@
       if (run === undefined) return
       left -= run.prefill
       this.stops.set(run.id, run.stop)
-      this.tell({ type: 'started', id: run.id, prefill: run.prefill })
+      this.handle({ type: 'started', id: run.id, prefill: run.prefill })
     }
   }
 }
--- a/src/ownership/server-orders.ts
+++ b/src/ownership/server-orders.ts
@@ -17,14 +17,14 @@
 import { ServerOwners } from './server-owners.js'
 import type { ServerState } from './server-state.js'
 
-const PERIOD = 500
+const RECONCILE_PERIOD = 500
 /** An order that hasn't been answered is given up; `longestAction` of the claims allows for it. */
 const ORDER_TIMEOUT = 1_500
 const STATE_TIMEOUT = 400
 /** Loads over the fleet at once. */
-const LOADS_AT_ONCE = 2
+const MAX_LOADS = 2
 /** A slot that is lost, with a daemon or a reply, stops other loads for at most this long; a load claims it anew before. */
-const SLOT_KEEP = 6_000
+const SLOT_DURATION = 6_000
 
 /**
  * Brings the servers that this daemon owns to what the configuration wants of them: reads what each has, and orders
@@ -33,7 +33,7 @@
  */
 @scoped(Lifecycle.ContainerScoped)
 export class ServerOrders implements Part {
-  private readonly agent = new Agent({ connections: 1, keepAliveTimeout: PERIOD, keepAliveMaxTimeout: PERIOD })
+  private readonly agent = new Agent({ connections: 1, keepAliveTimeout: RECONCILE_PERIOD, keepAliveMaxTimeout: RECONCILE_PERIOD })
   private readonly slots: LoadSlots
   private readonly busy = new Set<string>()
   /** Owned servers whose slots for loads an earlier owner may have left. */
@@ -49,11 +49,11 @@
     @inject(tokens.store) store: ObjectStore,
     @inject(tokens.clock) private readonly clock: Clock
   ) {
-    this.slots = new LoadSlots({ store, date: () => clock.date(), count: LOADS_AT_ONCE, keep: SLOT_KEEP })
+    this.slots = new LoadSlots({ store, date: () => clock.date(), count: MAX_LOADS, duration: SLOT_DURATION })
   }
 
   async start (): Promise<void> {
-    this.cancel = this.clock.every(PERIOD, () => this.visitAll())
+    this.cancel = this.clock.every(RECONCILE_PERIOD, () => this.reconcileAll())
   }
 
   async stop (): Promise<void> {
@@ -61,12 +61,12 @@
     await this.agent.destroy()
   }
 
-  private visitAll (): void {
+  private reconcileAll (): void {
     const owned = this.owners.listOwned()
     for (const server of this.adopted) if (!owned.includes(server)) this.forget(server)
     for (const instance of this.list.all) {
       const { value } = this.configuration
-      if (value.placement?.[instance.pool] !== undefined && owned.includes(instance.name) && !this.busy.has(instance.name)) void this.visit(instance, value)
+      if (value.placement?.[instance.pool] !== undefined && owned.includes(instance.name) && !this.busy.has(instance.name)) void this.reconcile(instance, value)
     }
   }
 
@@ -80,14 +80,14 @@
     return this.adopted.has(server)
   }
 
-  private async visit (instance: Instance, configuration: Configuration): Promise<void> {
+  private async reconcile (instance: Instance, configuration: Configuration): Promise<void> {
     this.busy.add(instance.name)
     const state = await this.adopt(instance.name) ? await this.readState(instance) : undefined
-    if (state !== undefined) await this.bringNearer(instance, configuration, state)
+    if (state !== undefined) await this.applyPlacement(instance, configuration, state)
     this.busy.delete(instance.name)
   }
 
-  private async bringNearer (instance: Instance, configuration: Configuration, state: ServerState): Promise<void> {
+  private async applyPlacement (instance: Instance, configuration: Configuration, state: ServerState): Promise<void> {
     const { name } = instance
     const placement = configuration.placement![instance.pool]!
     const order = planOrder(placement, state)
--- a/src/ownership/server-owners.ts
+++ b/src/ownership/server-owners.ts
@@ -50,7 +50,7 @@
   }
 
   async start (): Promise<void> {
-    this.pauses.subscribe(() => this.tellAll({ type: 'paused' }))
+    this.pauses.subscribe(() => this.handleAll({ type: 'paused' }))
     this.refresh()
     this.cancel = this.clock.every(REFRESH_PERIOD, () => this.refresh())
   }
@@ -83,7 +83,7 @@
 
   /** Asks for a fresh proof of the claim where one is of use now; `getAuthority` tells later whether it came. */
   confirm (server: string, checksFencing: boolean): void {
-    if (this.isSettled(server, checksFencing)) this.tell(server, { type: 'confirm' })
+    if (this.isSettled(server, checksFencing)) this.handle(server, { type: 'confirm' })
   }
 
   /**
@@ -108,17 +108,17 @@
     this.table.update(this.list.all.filter(({ pool }) => pool !== ENTRY_POOL), daemons)
     const before = this.owned
     this.owned = this.table.list(this.settings.instance)
-    for (const server of before) if (!this.owned.includes(server)) this.tell(server, { type: 'release' })
-    for (const server of this.owned) this.tell(server, { type: 'want' })
-    this.tellAll({ type: 'tick' })
+    for (const server of before) if (!this.owned.includes(server)) this.handle(server, { type: 'release' })
+    for (const server of this.owned) this.handle(server, { type: 'want' })
+    this.handleAll({ type: 'tick' })
     if (before.join() !== this.owned.join()) for (const listener of this.listeners) listener()
   }
 
-  private tellAll (event: ClaimEvent): void {
-    for (const server of this.claims.keys()) this.tell(server, event)
+  private handleAll (event: ClaimEvent): void {
+    for (const server of this.claims.keys()) this.handle(server, event)
   }
 
-  private tell (server: string, event: ClaimEvent): void {
+  private handle (server: string, event: ClaimEvent): void {
     const before = this.claims.get(server) ?? { type: 'idle', attempt: 0 }
     const { state, effects } = stepClaim(before, event, this.clock.now(), this.options)
     this.claims.set(server, state)
@@ -130,15 +130,15 @@
 
   private async read (server: string, attempt: number): Promise<void> {
     const object = await this.store.get<ClaimObject>(CLAIM_KIND, server, 'background')
-    if (object.ok) this.tell(server, { type: 'read', attempt, holder: object.val.value.holder, version: object.val.version })
-    else if (object.val.type === 'missing') this.tell(server, { type: 'read', attempt, version: 0 })
-    else this.tell(server, { type: 'failed', attempt })
+    if (object.ok) this.handle(server, { type: 'read', attempt, holder: object.val.value.holder, version: object.val.version })
+    else if (object.val.type === 'missing') this.handle(server, { type: 'read', attempt, version: 0 })
+    else this.handle(server, { type: 'failed', attempt })
   }
 
   private async write (server: string, attempt: number, version: number): Promise<void> {
     const value: ClaimObject = { holder: this.options.self }
     const written = await this.store.put(CLAIM_KIND, server, value, version, 'background')
-    this.tell(server, written.ok ? { type: 'written', attempt, version: written.val.version } : { type: 'failed', attempt })
+    this.handle(server, written.ok ? { type: 'written', attempt, version: written.val.version } : { type: 'failed', attempt })
   }
 }
 
--- a/src/ownership/server-view-publisher.ts
+++ b/src/ownership/server-view-publisher.ts
@@ -26,9 +26,9 @@
 /** Tells the daemons of a region how its servers are, from each server's owner. */
 @scoped(Lifecycle.ContainerScoped)
 export class ServerViewPublisher implements Part {
-  readonly extensions = [peerHandlerPoint.of({ type: MESSAGE_TYPE, handle: message => this.hear(message) })]
-  private readonly told = new Map<string, { readonly view: ServerView, readonly at: number }>()
-  private readonly heard = new Map<string, number>()
+  readonly extensions = [peerHandlerPoint.of({ type: MESSAGE_TYPE, handle: message => this.receive(message) })]
+  private readonly published = new Map<string, { readonly view: ServerView, readonly at: number }>()
+  private readonly receivedAt = new Map<string, number>()
   private cancel = (): void => {}
 
   constructor (
@@ -46,32 +46,32 @@
   ) {}
 
   async start (): Promise<void> {
-    this.cancel = this.clock.every(CHECK_PERIOD, () => this.check())
+    this.cancel = this.clock.every(CHECK_PERIOD, () => this.publishDue())
   }
 
   async stop (): Promise<void> {
     this.cancel()
   }
 
-  private check (): void {
+  private publishDue (): void {
     const period = planViewPeriod(this.list.all.length)
     const now = this.clock.now()
-    for (const [server, at] of this.heard) if (now > at + MISSED_PERIODS * period) this.drop(server)
+    for (const [server, at] of this.receivedAt) if (now > at + MISSED_PERIODS * period) this.drop(server)
     const owned = this.owners.listOwned()
-    for (const server of this.told.keys()) if (!owned.includes(server)) this.told.delete(server)
-    const fresh = owned.map(server => this.build(server)).filter(view => this.isNews(view, now, period))
-    if (fresh.length === 0) return
-    for (const view of fresh) {
-      this.told.set(view.server, { view, at: now })
-      this.take(view)
+    for (const server of this.published.keys()) if (!owned.includes(server)) this.published.delete(server)
+    const due = owned.map(server => this.buildView(server)).filter(view => this.isDue(view, now, period))
+    if (due.length === 0) return
+    for (const view of due) {
+      this.published.set(view.server, { view, at: now })
+      this.apply(view)
     }
     for (const { instance } of this.members.all()) {
-      if (instance.name !== this.settings.instance && instance.region === this.settings.region) this.links.send(instance.name, { type: MESSAGE_TYPE, views: fresh })
+      if (instance.name !== this.settings.instance && instance.region === this.settings.region) this.links.send(instance.name, { type: MESSAGE_TYPE, views: due })
     }
   }
 
   /** An owner whose claim hasn't come yet speaks under the number last known, so that soft state isn't held up. */
-  private build (server: string): ServerView {
+  private buildView (server: string): ServerView {
     return {
       server,
       state: this.watch.getState(server),
@@ -83,23 +83,23 @@
   }
 
   /** A change of state is news at once; counts are told again at the period. */
-  private isNews (view: ServerView, now: number, period: number): boolean {
-    const told = this.told.get(view.server)
-    return told === undefined || told.view.state !== view.state || told.view.limit !== view.limit || now >= told.at + period
+  private isDue (view: ServerView, now: number, period: number): boolean {
+    const lastPublished = this.published.get(view.server)
+    return lastPublished === undefined || lastPublished.view.state !== view.state || lastPublished.view.limit !== view.limit || now >= lastPublished.at + period
   }
 
-  private hear ({ views }: PeerMessage): void {
+  private receive ({ views }: PeerMessage): void {
     if (!Array.isArray(views)) return
-    for (const view of views as readonly ServerView[]) if (typeof view?.server === 'string' && typeof view.fencing === 'number') this.take(view)
+    for (const view of views as readonly ServerView[]) if (typeof view?.server === 'string' && typeof view.fencing === 'number') this.apply(view)
   }
 
-  private take (view: ServerView): void {
+  private apply (view: ServerView): void {
     this.views.update(view)
-    if (this.views.get(view.server) === view) this.heard.set(view.server, this.clock.now())
+    if (this.views.get(view.server) === view) this.receivedAt.set(view.server, this.clock.now())
   }
 
   private drop (server: string): void {
-    this.heard.delete(server)
+    this.receivedAt.delete(server)
     this.views.remove(server)
   }
 }
--- a/src/ownership/server-watch.ts
+++ b/src/ownership/server-watch.ts
@@ -17,22 +17,22 @@
 const POLL_PERIOD = 500
 const POLL_TIMEOUT = 400
 /** A check that is given up this much after its time says more of this daemon than of the server, ms. */
-const LATE = 200
+const LATE_MARGIN = 200
 /** Past several polls, so that each needn't connect anew; a connection gone silent is closed by the poll that times out on it. */
 const KEEP_ALIVE = 4 * POLL_PERIOD
 const HEALTHY: HealthState = { state: 'open', failures: 0 }
 
 /** What a poll of one server told. */
-interface Known { readonly health: HealthState, readonly sequences: number }
+interface PollResult { readonly health: HealthState, readonly sequences: number }
 
 /** Health of the servers that this daemon owns, and their lagged load where the policy asks for it; of no others, so that polls are O(servers). */
 @scoped(Lifecycle.ContainerScoped)
 export class ServerWatch implements Part {
   private readonly agent = new Agent({ connections: 1, keepAliveTimeout: KEEP_ALIVE, keepAliveMaxTimeout: KEEP_ALIVE })
-  private readonly known = new Map<string, Known>()
+  private readonly results = new Map<string, PollResult>()
   private readonly listeners = new Set<(server: string) => void>()
   /** Only the policy that goes by load reports needs them; asking for them anyway was half of what polls cost. */
-  private readonly asksLoad: boolean
+  private readonly pollsLoad: boolean
   private cancel = (): void => {}
 
   constructor (
@@ -43,7 +43,7 @@
     @inject(tokens.settings) settings: Settings,
     @inject(tokens.clock) private readonly clock: Clock
   ) {
-    this.asksLoad = readBatchPolicy(settings).type === 'load reports'
+    this.pollsLoad = readBatchPolicy(settings).type === 'load reports'
   }
 
   async start (): Promise<void> {
@@ -60,19 +60,19 @@
     const instance = this.list.all.find(({ name }) => name === server)
     if (instance === undefined || instance.state === 'leaving') return 'leaving'
     if (this.configuration.value.placement?.[instance.pool]?.leaving?.includes(server) === true) return 'leaving'
-    return this.known.get(server)?.health.state ?? 'open'
+    return this.results.get(server)?.health.state ?? 'open'
   }
 
   /** Sequences running and waiting at the server, as it last reported; 0 where nobody asks. */
   getReported (server: string): number {
-    return this.known.get(server)?.sequences ?? 0
+    return this.results.get(server)?.sequences ?? 0
   }
 
   /** Takes the server for down until a check of it passes. */
   markDown (server: string): void {
-    const { sequences } = this.known.get(server) ?? { sequences: 0 }
-    if (this.known.get(server)?.health.state !== 'down') this.timeline.record({ part: 'ownership', what: 'server down', server, detail: 'unreachable' })
-    this.known.set(server, { health: { state: 'down', failures: 0 }, sequences })
+    const { sequences } = this.results.get(server) ?? { sequences: 0 }
+    if (this.results.get(server)?.health.state !== 'down') this.timeline.record({ part: 'ownership', what: 'server down', server, detail: 'unreachable' })
+    this.results.set(server, { health: { state: 'down', failures: 0 }, sequences })
   }
 
   /** `listener` runs after each poll of a server. */
@@ -82,19 +82,19 @@
 
   private pollAll (): void {
     const owned = this.owners.listOwned()
-    for (const server of this.known.keys()) if (!owned.includes(server)) this.known.delete(server)
+    for (const server of this.results.keys()) if (!owned.includes(server)) this.results.delete(server)
     for (const instance of this.list.all) if (owned.includes(instance.name)) void this.poll(instance)
   }
 
   private async poll (instance: Instance): Promise<void> {
     const { name, host, port } = instance
-    const asked = this.clock.now()
-    const [health, load] = await Promise.all([this.ask(`http://${host}:${port}/health`), this.asksLoad ? this.ask(`http://${host}:${port}/load`) : undefined])
-    const before = this.known.get(name) ?? { health: HEALTHY, sequences: 0 }
-    const next = stepHealth(before.health, health === undefined ? this.checkSilence(asked) : health.status >= 500 ? 'failed' : 'passed')
+    const startedAt = this.clock.now()
+    const [health, load] = await Promise.all([this.fetchJson(`http://${host}:${port}/health`), this.pollsLoad ? this.fetchJson(`http://${host}:${port}/load`) : undefined])
+    const before = this.results.get(name) ?? { health: HEALTHY, sequences: 0 }
+    const next = stepHealth(before.health, health === undefined ? this.classifyTimeout(startedAt) : health.status >= 500 ? 'failed' : 'passed')
     if (next.state !== before.health.state) this.timeline.record({ part: 'ownership', what: next.state === 'down' ? 'server down' : 'server up', server: name })
     const sequences = load?.status === 200 ? Number(load.body?.running ?? 0) + Number(load.body?.waiting ?? 0) : before.sequences
-    this.known.set(name, { health: next, sequences })
+    this.results.set(name, { health: next, sequences })
     for (const listener of this.listeners) listener(name)
   }
 
@@ -103,11 +103,11 @@
    * at once, would be taken for down and callers refused, while every server is well. A check that was given up late says
    * nothing; a server that is really silent is found by the first checks that are in time.
    */
-  private checkSilence (asked: number): 'failed' | 'late' {
-    return this.clock.now() - asked > POLL_TIMEOUT + LATE ? 'late' : 'failed'
+  private classifyTimeout (startedAt: number): 'failed' | 'late' {
+    return this.clock.now() - startedAt > POLL_TIMEOUT + LATE_MARGIN ? 'late' : 'failed'
   }
 
-  private async ask (url: string): Promise<{ readonly status: number, readonly body: any } | undefined> {
+  private async fetchJson (url: string): Promise<{ readonly status: number, readonly body: any } | undefined> {
     const abort = new AbortController()
     const cancel = this.clock.after(POLL_TIMEOUT, () => abort.abort())
     try {
--- a/src/ownership/work-queue.ts
+++ b/src/ownership/work-queue.ts
@@ -10,27 +10,27 @@
 import { ServedModels } from './served-models.js'
 
 /** Items that run by the dispatcher at once. */
-const MAX_APART = 4
+const MAX_DISPATCHED = 4
 /** How long an item is held for one server, ms. */
-const LONGEST_HOLD = 1_000
+const MAX_HOLD = 1_000
 
 /** Batch items on their way from the source to a server, those that can't be started now held by server. */
 @scoped(Lifecycle.ContainerScoped)
 export class WorkQueue {
   private readonly held = new Map<string, { readonly work: BatchWork, readonly since: number }>()
-  private readonly apart = new Set<Promise<void>>()
+  private readonly dispatching = new Set<Promise<void>>()
 
   constructor (
     @inject(ServedModels) private readonly models: ServedModels,
     @inject(Quarantine) private readonly quarantine: Quarantine,
-    @inject(DispatchedItemRunner) private readonly dispatched: DispatchedItemRunner,
-    @inject(Extensions) private readonly added: Extensions,
+    @inject(DispatchedItemRunner) private readonly itemRunner: DispatchedItemRunner,
+    @inject(Extensions) private readonly contributions: Extensions,
     @inject(tokens.clock) private readonly clock: Clock
   ) {}
 
   /** Whether items are held or run by the dispatcher. */
   get isBusy (): boolean {
-    return this.held.size > 0 || this.apart.size > 0
+    return this.held.size > 0 || this.dispatching.size > 0
   }
 
   /** Puts an item back to the front for its server. */
@@ -42,7 +42,7 @@
   async drain (): Promise<void> {
     for (const { work } of this.held.values()) this.giveBack(work)
     this.held.clear()
-    await Promise.all(this.apart)
+    await Promise.all(this.dispatching)
   }
 
   /**
@@ -53,7 +53,7 @@
   keepOnly (servers: readonly string[]): void {
     const now = this.clock.now()
     for (const [server, { work, since }] of this.held) {
-      if (servers.includes(server) && now < since + LONGEST_HOLD) continue
+      if (servers.includes(server) && now < since + MAX_HOLD) continue
       this.held.delete(server)
       this.giveBack(work)
     }
@@ -63,11 +63,11 @@
   take (server: string): BatchWork | undefined {
     for (let work = this.takeAny(server); work !== undefined; work = this.takeAny(server)) {
       if (work.signal.aborted) this.giveBack(work)
-      else if (!this.isApart(work)) return work
-      else if (this.apart.size >= MAX_APART) {
+      else if (!this.needsDispatcher(work)) return work
+      else if (this.dispatching.size >= MAX_DISPATCHED) {
         this.hold(server, work)
         return undefined
-      } else this.runApart(work)
+      } else this.dispatch(work)
     }
     return undefined
   }
@@ -76,7 +76,7 @@
     const held = this.held.get(server)
     this.held.delete(server)
     if (held !== undefined) return held.work
-    for (const source of this.added.collect(batchSourcePoint)) {
+    for (const source of this.contributions.collect(batchSourcePoint)) {
       for (const { service } of this.models.list(server)) {
         const work = source.take(service)
         if (work !== undefined) return work
@@ -85,16 +85,16 @@
     return undefined
   }
 
-  private runApart (work: BatchWork): void {
-    const run = this.dispatched.run(work).finally(() => this.apart.delete(run))
-    this.apart.add(run)
+  private dispatch (work: BatchWork): void {
+    const run = this.itemRunner.run(work).finally(() => this.dispatching.delete(run))
+    this.dispatching.add(run)
   }
 
   /**
    * Whether an item must not run as a stream that may be closed: a suspect of having crashed a server, which runs
    * alone, or a non-idempotent one, which runs to its end.
    */
-  private isApart ({ caller, service, item, idempotent }: BatchWork): boolean {
+  private needsDispatcher ({ caller, service, item, idempotent }: BatchWork): boolean {
     const fingerprint = hashRequest({ caller, service, path: item.url, body: Buffer.from(JSON.stringify({ ...item.body, stream: false })) })
     return !idempotent || this.quarantine.check(fingerprint) !== 'clear'
   }
--- a/test/coordination/regions-parted.test.ts
+++ b/test/coordination/region-partition.test.ts
@@ -2,7 +2,7 @@
 import { RegionTrial } from '../helpers/simulate-regions.js'
 
 const SECOND = 1_000
-const PARTED = 300 * SECOND
+const PARTITION = 300 * SECOND
 const SIZE = 40
 
 const isSorted = (versions: readonly number[]): boolean => versions.every((version, i) => i === 0 || version > versions[i - 1]!)
@@ -21,7 +21,7 @@
   let [ownerless, foreign] = [0, 0]
   for (let version = 2; version <= 7; version++) {
     trial.platform = { version, parts: [`part-${version}`], body: {} }
-    trial.run(PARTED / 6, () => {
+    trial.run(PARTITION / 6, () => {
       for (const name of members.names) {
         for (const server of trial.servers.filter(({ region }) => region === trial.findRegion(name))) {
           const owner = trial.findOwner(name, server.name)
--- a/test/ownership/claim.test.ts
+++ b/test/ownership/claim.test.ts
@@ -18,11 +18,11 @@
   object = { holder: undefined as string | undefined, version: 0 }
   readonly candidates: Candidate[] = [0, 1].map(() => ({ state: { type: 'idle', attempt: 0 }, frozenUntil: 0, replies: [] }))
   sent: Sent[] = []
-  readonly taken: Sent[] = []
+  readonly applied: Sent[] = []
 
   constructor (private readonly checksFencing: boolean) {}
 
-  tell (i: number, event: ClaimEvent): void {
+  handle (i: number, event: ClaimEvent): void {
     const candidate = this.candidates[i]!
     const { state, effects } = stepClaim(candidate.state, event, this.now, { self: `c${i}`, ...TIMES })
     candidate.state = state
@@ -41,8 +41,8 @@
   prove (i: number, delay: number): void {
     const { replies } = this.candidates[i]!
     for (const type of ['want', 'tick', 'confirm'] as const) {
-      this.tell(i, { type })
-      while (replies.length > 0) this.tell(i, replies.shift()!)
+      this.handle(i, { type })
+      while (replies.length > 0) this.handle(i, replies.shift()!)
     }
     this.order(i, delay)
   }
@@ -59,7 +59,7 @@
     const due = this.sent.filter(({ arrives }) => arrives <= this.now).sort((a, b) => a.arrives - b.arrives)
     this.sent = this.sent.filter(order => !due.includes(order))
     for (const order of due) {
-      if (!this.checksFencing || order.fencing >= (this.taken.at(-1)?.fencing ?? 0)) this.taken.push(order)
+      if (!this.checksFencing || order.fencing >= (this.applied.at(-1)?.fencing ?? 0)) this.applied.push(order)
     }
   }
 }
@@ -76,13 +76,13 @@
   world.advance(time)
   if (world.now < candidate.frozenUntil) return
   switch (what) {
-    case 'reply': { const reply = candidate.replies.shift(); if (reply !== undefined) world.tell(who, reply); break }
-    case 'lose': { const reply = candidate.replies.shift(); if (reply !== undefined) world.tell(who, { type: 'failed', attempt: (reply as { attempt: number }).attempt }); break }
+    case 'reply': { const reply = candidate.replies.shift(); if (reply !== undefined) world.handle(who, reply); break }
+    case 'lose': { const reply = candidate.replies.shift(); if (reply !== undefined) world.handle(who, { type: 'failed', attempt: (reply as { attempt: number }).attempt }); break }
     case 'order': world.order(who, delay); break
     case 'prove': world.prove(who, delay); break
     // A frozen process goes on with what it believed: no `paused` event reaches the claim here.
     case 'freeze': candidate.frozenUntil = world.now + 4 * time; break
-    default: world.tell(who, { type: what } as ClaimEvent)
+    default: world.handle(who, { type: what } as ClaimEvent)
   }
 }
 
@@ -96,8 +96,8 @@
       const world = new World(checksFencing)
       for (const each of steps) play(world, each)
       world.advance(LONGEST)
-      orders += world.taken.length
-      return world.taken.every((order, i) => i === 0 || order.by === world.taken[i - 1]!.by || order.fencing > world.taken[i - 1]!.fencing)
+      orders += world.applied.length
+      return world.applied.every((order, i) => i === 0 || order.by === world.applied[i - 1]!.by || order.fencing > world.applied[i - 1]!.fencing)
     }), RUNS)
     t.true(orders > 0)
   })
@@ -105,19 +105,19 @@
 
 test('a claim costs one read and one write, and none while it is held', t => {
   const world = new World(true)
-  world.tell(0, { type: 'want' })
-  world.tell(0, world.candidates[0]!.replies.shift()!)
-  world.tell(0, world.candidates[0]!.replies.shift()!)
-  for (let i = 0; i < 20; i++) world.tell(0, { type: 'tick' })
+  world.handle(0, { type: 'want' })
+  world.handle(0, world.candidates[0]!.replies.shift()!)
+  world.handle(0, world.candidates[0]!.replies.shift()!)
+  for (let i = 0; i < 20; i++) world.handle(0, { type: 'tick' })
   t.like(world.candidates[0]!.state, { type: 'held', version: 1 })
   t.is(world.object.version, 1)
 })
 
 test('a holder that was paused reads the claim before it counts as proven again', t => {
   const world = new World(true)
-  world.tell(0, { type: 'want' })
-  world.tell(0, world.candidates[0]!.replies.shift()!)
-  world.tell(0, world.candidates[0]!.replies.shift()!)
-  world.tell(0, { type: 'paused' })
+  world.handle(0, { type: 'want' })
+  world.handle(0, world.candidates[0]!.replies.shift()!)
+  world.handle(0, world.candidates[0]!.replies.shift()!)
+  world.handle(0, { type: 'paused' })
   t.false(isClaimProven(world.candidates[0]!.state, 0, { self: 'c0' }))
 })
--- a/test/ownership/helpers/order-trial.ts
+++ b/test/ownership/helpers/order-trial.ts
@@ -15,13 +15,13 @@
 /** Virtual time for each turn of the real loop, ms; a server answers within far fewer turns than a timeout has. */
 const STEP = 1
 
-interface Taken { readonly server: string, readonly order: any }
+interface ReceivedOrder { readonly server: string, readonly order: any }
 
 /** One daemon's orders on virtual time, over HTTP servers that note what they are asked and change nothing by it. */
 export class OrderTrial {
   readonly store = new MemoryStore()
-  readonly taken: Taken[] = []
-  visits = 0
+  readonly received: ReceivedOrder[] = []
+  stateReads = 0
   private readonly clock = new VirtualClock()
   private readonly configuration = new ConfigurationHolder()
   private readonly instances: unknown[] = []
@@ -31,8 +31,8 @@
   /** Adds a server that has this model loaded, or none. */
   async addServer (name: string, model?: string): Promise<void> {
     const server = createServer(async (req, res) => {
-      if (req.method === 'POST') for await (const part of req) this.taken.push({ server: name, order: JSON.parse(String(part)) })
-      else this.visits++
+      if (req.method === 'POST') for await (const part of req) this.received.push({ server: name, order: JSON.parse(String(part)) })
+      else this.stateReads++
       res.end(JSON.stringify({ role: 'mixed', models: model === undefined ? [] : [{ model, state: 'loaded' }] }))
     }).listen(0, '127.0.0.1')
     this.t.teardown(() => server.close())
@@ -58,7 +58,7 @@
     await part.start()
   }
 
-  async visitUntil (enough: () => boolean): Promise<void> {
+  async runUntil (enough: () => boolean): Promise<void> {
     while (!enough()) {
       await this.clock.advance(STEP)
       await new Promise<void>(resolve => setImmediate(resolve))
--- a/test/ownership/late-checks.test.ts
+++ b/test/ownership/late-checks.test.ts
@@ -37,8 +37,8 @@
 
 // What callers would see: refusals for want of an open server, at a daemon that gets no processor for a while, with every
 // server well. Its checks are given up late, the answers unread. A server that is silent while the daemon runs is down.
-for (const [state, standstill] of [['open', 1_000], ['down', 0]] as const) {
-  test(`a server that is silent to a daemon that stands still for ${standstill} ms at each check is ${state}`, async t => {
+for (const [state, pause] of [['open', 1_000], ['down', 0]] as const) {
+  test(`a server that is silent to a daemon that stands still for ${pause} ms at each check is ${state}`, async t => {
     let asked = 0
     const server = createServer(() => { asked++ }).listen(0, '127.0.0.1')
     t.teardown(() => server.close().closeAllConnections())
@@ -55,7 +55,7 @@
     for (let check = 1; check <= 4; check++) {
       clock.tick()
       await waitUntil(() => asked >= check)
-      clock.time += TIMEOUT + standstill
+      clock.time += TIMEOUT + pause
       clock.run()
       await waitUntil(() => polls >= check)
     }
--- a/test/ownership/leaving.test.ts
+++ b/test/ownership/leaving.test.ts
@@ -33,14 +33,14 @@
 
   await fleet.register({ ...servers[0]!.instance, state: 'leaving' })
   await fleet.apply({ ...folder, placement: { 'charter-engines': { models: [], checksFencing: true, leaving: ['by order'] } } }, version)
-  const told = Date.now()
-  await fleet.waitUntil(async () => (await readRuns(2)).some(run => run.at > told + BOUND + 500))
+  const announced = Date.now()
+  await fleet.waitUntil(async () => (await readRuns(2)).some(run => run.at > announced + BOUND + 500))
   stopped.abort()
   await Promise.all(asked)
   for (const i of [0, 1]) {
     const runs = await readRuns(i)
-    t.log(`${NAMES[i]}: last start ${Math.max(...runs.map(({ at }) => at)) - told} ms after it was told`)
-    t.true(runs.every(({ at }) => at <= told + BOUND), NAMES[i])
+    t.log(`${NAMES[i]}: last start ${Math.max(...runs.map(({ at }) => at)) - announced} ms after it was told`)
+    t.true(runs.every(({ at }) => at <= announced + BOUND), NAMES[i])
     t.true(runs.every(({ outcome, body }) => outcome === 'finished' || (outcome === 'cancelled' && body.includes('Draft'))), NAMES[i])
   }
   t.true(outcomes.every(status => status === 200))
--- a/test/ownership/load-slots.test.ts
+++ b/test/ownership/load-slots.test.ts
@@ -3,7 +3,7 @@
 import { LoadSlots } from '../../src/ownership/load-slots.js'
 import { MemoryStore } from '../../stand-ins/platform/memory-store.js'
 
-const KEEP = 6_000
+const DURATION = 6_000
 const LOST = { loseReply: { type: 'unknown', reason: 'no reply came' } } as const
 const OUT = { fail: { type: 'unavailable', reason: 'outage' } } as const
 
@@ -13,7 +13,7 @@
   readonly daemons = Array.from({ length: 3 }, () => this.create())
 
   create (): LoadSlots {
-    return new LoadSlots({ store: this.store, date: () => this.now, count: 2, keep: KEEP })
+    return new LoadSlots({ store: this.store, date: () => this.now, count: 2, duration: DURATION })
   }
 }
 
@@ -86,7 +86,7 @@
     const owner = fleet.create()
     for (const server of servers) if (!await owner.adopt(server)) return false
     const left = new Set(servers)
-    for (const end = fleet.now + KEEP + 2_000; left.size > 0 && fleet.now < end; fleet.now += 500) {
+    for (const end = fleet.now + DURATION + 2_000; left.size > 0 && fleet.now < end; fleet.now += 500) {
       for (const server of left) {
         if (!await owner.claim(server)) continue
         left.delete(server)
--- a/test/ownership/online-counts.test.ts
+++ b/test/ownership/online-counts.test.ts
@@ -5,7 +5,7 @@
 import { stepOnlineCounts } from '../../src/ownership/step-online-counts.js'
 
 const EMPTY: OnlineCountsState = { servers: new Map(), newest: new Map() }
-const told = (reporter: string, number: number, counts: Record<string, number>) => ({ type: 'told' as const, reporter, number, counts: new Map(Object.entries(counts)) })
+const report = (reporter: string, number: number, counts: Record<string, number>) => ({ type: 'told' as const, reporter, number, counts: new Map(Object.entries(counts)) })
 
 // A daemon tells of online requests that begin and end; frames are lost, come twice or in another order. A count that
 // drifts up holds batch back for good, one that drifts down lets batch stand in the way.
@@ -14,7 +14,7 @@
   fc.assert(fc.property(fc.array(message, { maxLength: 30 }), fc.nat(), (messages, seed) => {
     const arriving = messages.map((each, number) => ({ ...each, number })).filter(({ lost }) => !lost)
     const shuffled = arriving.flatMap(each => [each, each]).sort((a, b) => ((a.number * 7 + seed) % 11) - ((b.number * 7 + seed) % 11))
-    const end = shuffled.reduce((state, { reporter, number, server, count }) => stepOnlineCounts(state, told(reporter, number, { [server]: count }), 0), EMPTY)
+    const end = shuffled.reduce((state, { reporter, number, server, count }) => stepOnlineCounts(state, report(reporter, number, { [server]: count }), 0), EMPTY)
     const newest = ['a', 'b'].map(reporter => arriving.filter(each => each.reporter === reporter).at(-1))
     return ['s', 't'].every(server => countOnline(end, server) === newest.reduce((sum, each) => sum + (each?.server === server ? each.count : 0), 0))
   }), { seed: 3, numRuns: 300 })
@@ -22,11 +22,11 @@
 })
 
 test('a reporter that died or went silent counts no more', t => {
-  const two = stepOnlineCounts(stepOnlineCounts(EMPTY, told('a', 1, { s: 2 }), 0), told('b', 1, { s: 3 }), 2_000)
+  const two = stepOnlineCounts(stepOnlineCounts(EMPTY, report('a', 1, { s: 2 }), 0), report('b', 1, { s: 3 }), 2_000)
   t.is(countOnline(two, 's'), 5)
   t.is(countOnline(stepOnlineCounts(two, { type: 'lost', reporter: 'b' }, 2_000), 's'), 2)
   t.is(countOnline(stepOnlineCounts(two, { type: 'tick' }, 17_499), 's'), 5)
   t.is(countOnline(stepOnlineCounts(two, { type: 'tick' }, 17_500), 's'), 3)
-  t.is(countOnline(stepOnlineCounts(two, told('b', 1, { s: 9 }), 2_100), 's'), 5)
-  t.is(countOnline(stepOnlineCounts(two, told('b', 0, { s: 9 }), 6_000), 's'), 11)
+  t.is(countOnline(stepOnlineCounts(two, report('b', 1, { s: 9 }), 2_100), 's'), 5)
+  t.is(countOnline(stepOnlineCounts(two, report('b', 0, { s: 9 }), 6_000), 's'), 11)
 })
--- a/test/ownership/online-repeat.test.ts
+++ b/test/ownership/online-repeat.test.ts
@@ -15,73 +15,73 @@
 /** The reporter `a`, with the owner `b` of all servers at the other end of a link. */
 async function startReporter (version = 3) {
   const clock = new VirtualClock()
-  const heard: Array<{ readonly at: number, readonly counts: unknown }> = []
-  const world = { session: { agreedVersion: version } as { agreedVersion: number } | undefined, alive: ['a', 'b'] }
+  const reports: Array<{ readonly at: number, readonly counts: unknown }> = []
+  const peers = { session: { agreedVersion: version } as { agreedVersion: number } | undefined, alive: ['a', 'b'] }
   const load = new OnlineLoad(
     { findOwner: () => 'b' } as unknown as ServerOwners,
-    { all: () => world.alive.map(name => ({ instance: { name } })) } as unknown as Members,
-    { findSession: () => world.session, send: (_to: string, { counts }: PeerMessage) => heard.push({ at: clock.now(), counts }) } as unknown as PeerLinks,
+    { all: () => peers.alive.map(name => ({ instance: { name } })) } as unknown as Members,
+    { findSession: () => peers.session, send: (_to: string, { counts }: PeerMessage) => reports.push({ at: clock.now(), counts }) } as unknown as PeerLinks,
     { instance: 'a' } as Settings,
     clock
   )
   const observer = load.extensions[0]!.value as ExchangeObserver
   await load.start()
-  return { clock, heard, world, begin: () => observer.onBegin?.(ONLINE, 's'), end: () => observer.onEnd?.(ONLINE, 's', {} as never) }
+  return { clock, reports, peers, begin: () => observer.onBegin?.(ONLINE, 's'), end: () => observer.onEnd?.(ONLINE, 's', {} as never) }
 }
 
 test('a long request is told when it begins, every 5 s, and when it ends', async t => {
-  const { clock, heard, begin, end } = await startReporter()
+  const { clock, reports, begin, end } = await startReporter()
   begin()
   await clock.advance(21_000)
   end()
   await clock.advance(10_000)
-  t.deepEqual(heard, [3, 6_000, 11_000, 16_000, 21_000, 21_003].map((at, i) => ({ at, counts: i < 5 ? { s: 1 } : {} })))
+  t.deepEqual(reports, [3, 6_000, 11_000, 16_000, 21_000, 21_003].map((at, i) => ({ at, counts: i < 5 ? { s: 1 } : {} })))
 })
 
 test('a request that ends and one that begins within 3 ms are told in one frame', async t => {
-  const { clock, heard, begin, end } = await startReporter()
+  const { clock, reports, begin, end } = await startReporter()
   begin()
   await clock.advance(100)
   end()
   await clock.advance(2)
   begin()
   await clock.advance(100)
-  t.deepEqual(heard, [3, 103].map(at => ({ at, counts: { s: 1 } })))
+  t.deepEqual(reports, [3, 103].map(at => ({ at, counts: { s: 1 } })))
 })
 
 // The connection to the owner breaks just after the frame of a request that begins, or ends, went into it. Told anew only
 // after 5 s, batch would stay in the request's way so long, or for nothing out of the server's idle time for 17.5 s.
 test('what went into a connection that broke is told within a second over the next', async t => {
-  const { clock, heard, world, begin, end } = await startReporter()
+  const { clock, reports, peers, begin, end } = await startReporter()
   await clock.advance(500)
   begin()
   await clock.advance(100)
-  world.session = { agreedVersion: 3 }
+  peers.session = { agreedVersion: 3 }
   await clock.advance(400)
-  t.deepEqual(heard.map(({ at }) => at), [503, 1_000])
+  t.deepEqual(reports.map(({ at }) => at), [503, 1_000])
   end()
   await clock.advance(20)
-  world.session = { agreedVersion: 3 }
+  peers.session = { agreedVersion: 3 }
   await clock.advance(3_980)
-  t.deepEqual(heard.slice(2), [{ at: 1_003, counts: {} }, { at: 2_000, counts: {} }])
+  t.deepEqual(reports.slice(2), [{ at: 1_003, counts: {} }, { at: 2_000, counts: {} }])
 })
 
 // A daemon of the version before forgets a level after 3.5 s, and would let batch in beside the request.
 test('an owner of an earlier version is told each second', async t => {
-  const { clock, heard, begin } = await startReporter(2)
+  const { clock, reports, begin } = await startReporter(2)
   begin()
   await clock.advance(5_000)
-  t.deepEqual(heard.map(({ at }) => at), [3, 1_000, 2_000, 3_000, 4_000, 5_000])
+  t.deepEqual(reports.map(({ at }) => at), [3, 1_000, 2_000, 3_000, 4_000, 5_000])
 })
 
 test('an owner that has died is told no more', async t => {
-  const { clock, heard, world, begin, end } = await startReporter()
+  const { clock, reports, peers, begin, end } = await startReporter()
   begin()
   await clock.advance(100)
   end()
-  world.session = undefined
+  peers.session = undefined
   await clock.advance(20)
-  world.alive = ['a']
+  peers.alive = ['a']
   await clock.advance(5_000)
-  t.is(heard.length, 2)
+  t.is(reports.length, 2)
 })
--- a/test/ownership/orders.test.ts
+++ b/test/ownership/orders.test.ts
@@ -37,7 +37,7 @@
   }
 
   prove (i: number): void {
-    for (const type of ['want', 'tick', 'confirm'] as const) this.tell(i, { type })
+    for (const type of ['want', 'tick', 'confirm'] as const) this.handle(i, { type })
   }
 
   /** One visit: reads the server, and sends the order after `delay`. */
@@ -59,15 +59,15 @@
     }
   }
 
-  private tell (i: number, event: ClaimEvent): void {
+  private handle (i: number, event: ClaimEvent): void {
     const { state, effects } = stepClaim(this.claims[i]!, event, this.now, { self: `o${i}`, ...TIMES })
     this.claims[i] = state
     for (const { attempt, ...effect } of effects) {
-      if (effect.type === 'read') this.tell(i, { type: 'read', attempt, ...this.object })
-      else if (effect.version !== this.object.version) this.tell(i, { type: 'failed', attempt })
+      if (effect.type === 'read') this.handle(i, { type: 'read', attempt, ...this.object })
+      else if (effect.version !== this.object.version) this.handle(i, { type: 'failed', attempt })
       else {
         this.object = { holder: `o${i}`, version: this.object.version + 1 }
-        this.tell(i, { type: 'written', attempt, version: this.object.version })
+        this.handle(i, { type: 'written', attempt, version: this.object.version })
       }
     }
   }
@@ -101,7 +101,7 @@
 test('no more servers load at once than there are slots, and a slot of a dead owner comes free', async t => {
   const store = new MemoryStore()
   let now = 0
-  const create = (): LoadSlots => new LoadSlots({ store, date: () => now, count: 2, keep: 1_000 })
+  const create = (): LoadSlots => new LoadSlots({ store, date: () => now, count: 2, duration: 1_000 })
   const [one, other] = [create(), create()]
   t.deepEqual([await one.claim('a'), await other.claim('b'), await one.claim('c'), await one.claim('a')], [true, true, false, true])
   await other.release('b')
--- a/test/ownership/giving-way.test.ts
+++ b/test/ownership/preemption.test.ts
@@ -9,7 +9,7 @@
 const TOKENS = 60
 const ONLINE = 12
 /** An owner that is told before the request has reached the engine closes streams before it, ms. */
-const NEWS = 50
+const HEAD_START = 50
 
 // A server is full of batch streams when online requests come in through two daemons, of which at most one is the
 // server's owner. The engine knows no priorities: were the streams left there, each online token would come late.
@@ -39,10 +39,10 @@
 
   const runs = await readRuns()
   const firstOnline = runs.find(run => !isItem(run))!
-  const met = runs.filter(run => isItem(run) && run.at < firstOnline.at && run.endedAt! > firstOnline.at - NEWS)
-  const gaveWay = met.filter(({ outcome }) => outcome === 'cancelled')
-  t.log(`${met.length} streams met online requests, ${gaveWay.length} gave way after ${gaveWay.map(({ endedAt }) => endedAt! - firstOnline.at).join(', ')} ms`)
-  t.true(gaveWay.length >= met.length / 2)
+  const met = runs.filter(run => isItem(run) && run.at < firstOnline.at && run.endedAt! > firstOnline.at - HEAD_START)
+  const preempted = met.filter(({ outcome }) => outcome === 'cancelled')
+  t.log(`${met.length} streams met online requests, ${preempted.length} gave way after ${preempted.map(({ endedAt }) => endedAt! - firstOnline.at).join(', ')} ms`)
+  t.true(preempted.length >= met.length / 2)
   t.true(runs.some(run => isItem(run) && run.body.includes('resume_from')))
   const results = await callers[0]!.readResults(job.id, 'output')
   t.deepEqual(results.map(line => line.response.body.choices[0].message.content).sort(), Array.from({ length: ITEMS }, (_, i) => answerWords(`Draft ${i}`, TOKENS).join(' ')).sort())
--- a/test/ownership/slot-wait.test.ts
+++ b/test/ownership/slot-wait.test.ts
@@ -12,6 +12,6 @@
   trial.place(version, 'new')
   const isSettled = (server: string): boolean => server === 'c'
   await trial.start({ listOwned: () => ['a', 'b', 'c'], isSettled, getAuthority: server => isSettled(server) ? 9 : undefined, confirm: () => {} })
-  await trial.visitUntil(() => trial.taken.length > 0 || trial.visits > 12)
-  t.deepEqual(trial.taken[0], { server: 'c', order: { kind: 'load', model: 'new', fencing: 9 } })
+  await trial.runUntil(() => trial.received.length > 0 || trial.stateReads > 12)
+  t.deepEqual(trial.received[0], { server: 'c', order: { kind: 'load', model: 'new', fencing: 9 } })
 })
