--- a/src/ownership/batch-admission-event.ts
+++ b/src/ownership/batch-admission-event.ts
@@ -1,8 +1,8 @@
-/** What happens at a server, as its owner sees it. */
+/** An event at a server, as seen by its owner. */
 export type BatchAdmissionEvent =
-  /** The number of online requests in flight there, over all daemons. */
+  /** The number of online requests in flight at the server, summed over all daemons. */
   | { readonly type: 'online', readonly count: number }
-  /** A load report has come: sequences running and waiting some time ago. */
+  /** A load report of the server: sequences that were running or waiting some time ago. */
   | { readonly type: 'reported', readonly sequences: number }
   | { readonly type: 'started', readonly id: string, readonly prefill: number }
   | { readonly type: 'prefilled', readonly id: string }
--- a/src/ownership/batch-admission-options.ts
+++ b/src/ownership/batch-admission-options.ts
@@ -1,9 +1,9 @@
 import type { BatchPolicy } from './batch-policy.js'
 
-/** What batch admission on one server goes by. Times in ms. */
+/** Parameters of batch admission on one server. Times in ms. */
 export interface BatchAdmissionOptions {
   readonly policy: BatchPolicy
-  /** Sequences the server may have in flight, online and batch together. */
+  /** Most sequences that may be in flight at the server, online and batch together. */
   readonly maxInFlight: number
   /** The model's target for the time between tokens. */
   readonly betweenTokens: number
--- a/src/ownership/batch-admission-state.ts
+++ b/src/ownership/batch-admission-state.ts
@@ -1,27 +1,27 @@
 import type { BatchStream } from './batch-stream.js'
 
-/** What batch admission on one server remembers. Times are monotonic ms. */
+/** State of batch admission on one server. Times in monotonic ms. */
 export interface BatchAdmissionState {
-  /** Online requests in flight, as the daemons tell. */
+  /** Online requests in flight, as reported by the daemons. */
   readonly online: number
-  /** When the first of them began on a server that had none. */
+  /** When online requests last began on a server that had none. */
   readonly busySince: number
-  /** Sequences running or waiting, as the server last reported; late. */
+  /** Sequences running or waiting by the server's last load report, which lags behind. */
   readonly reported: number
-  /** Streams in the order in which they were started. */
+  /** Streams in start order. */
   readonly streams: readonly BatchStream[]
-  /** Adaptive limit of batch streams while nothing else runs. */
+  /** Adaptive limit of batch streams while no online requests are in flight. */
   readonly limit: number
   readonly limitChangedAt: number
-  /** Time between tokens of the streams when it was last observed: about a step. */
+  /** Last observed time between tokens of the streams, about the duration of one engine step. */
   readonly gap: number
-  /** Highest number of online requests of late; it decays. */
+  /** Recent peak of online requests; it decays exponentially. */
   readonly peak: number
   readonly peakAt: number
   readonly lastStart: number
-  /** Prompt tokens that the stream started last had to prefill. */
+  /** Prompt tokens that the most recently started stream had to prefill. */
   readonly lastPrefill: number
-  /** What prompts that were started owe, squared tokens, as it was at `debtAt`; see `estimatePrefillDebt`. */
+  /** Prefill debt at `debtAt`, in squared tokens; see `estimatePrefillDebt`. */
   readonly debt: number
   readonly debtAt: number
 }
--- a/src/ownership/batch-admission.ts
+++ b/src/ownership/batch-admission.ts
@@ -8,20 +8,21 @@
 
 interface Step { readonly state: BatchAdmissionState, readonly effects: readonly BatchAdmissionEffect[] }
 
-/** Longest idle stretch over which the peak of online requests halves, ms. */
+/** Half-life of the peak of online requests, ms. */
 const PEAK_HALF_LIFE = 60_000
+/** Least time between two changes of the limit, ms. */
 const LIMIT_PERIOD = 250
 /**
- * Share of the target that the batch streams' own time between tokens may reach. It bounds the step during which the
- * first online request of a burst waits.
+ * Share of the target time between tokens that batch streams may use on an idle server. It bounds the engine step for
+ * which the first online request of a burst waits.
  */
 const TARGET_SHARE = 1
 const DECREASE = 0.9
 
 /**
- * The next state of batch admission on one server and what its owner is to do. It has no clock and no source of
- * items: feed it every change and a tick now and then, and carry the effects out in the same turn. `started` has no effects,
- * so that the items of one `start` can be told one by one.
+ * Returns the next state of batch admission on one server and the actions for its owner. It has no clock and no source
+ * of items: pass it every event and a regular tick, and carry out the effects in the same turn. `started` returns no
+ * effects, so that the items of one `start` can be reported one by one.
  *
  * @example
  * let { state, effects } = stepBatchAdmission(createBatchAdmission(options), { type: 'online', count: 1 }, now, options)
@@ -56,7 +57,7 @@
   return { peak: Math.max(online, decayed), peakAt: now }
 }
 
-/** Additive increase, multiplicative decrease (Chiu and Jain, 1989) of the streams on an idle server. */
+/** Adapts the limit of streams on an idle server by additive increase, multiplicative decrease (Chiu and Jain, 1989). */
 function updateLimit (state: BatchAdmissionState, gap: number, now: number, { betweenTokens, maxInFlight }: BatchAdmissionOptions): BatchAdmissionState {
   if (now < state.limitChangedAt + LIMIT_PERIOD) return state
   if (gap > betweenTokens * TARGET_SHARE) return { ...state, limit: Math.max(1, state.limit * DECREASE), limitChangedAt: now }
@@ -79,7 +80,7 @@
   return streams.length < allowed ? [{ type: 'start', count: allowed - streams.length, prefill: Infinity, largest: Infinity }] : []
 }
 
-/** Leaves twice the online load that the report shows free, and gives the rest to batch. */
+/** Reserves twice the online load of the last report and leaves the rest to batch. */
 function planByReport (state: BatchAdmissionState, maxInFlight: number): readonly BatchAdmissionEffect[] {
   const online = Math.max(0, state.reported - state.streams.length)
   const allowed = Math.max(0, maxInFlight - 2 * online)
--- a/src/ownership/batch-answer.ts
+++ b/src/ownership/batch-answer.ts
@@ -1,14 +1,14 @@
-/** A batch item's answer as it comes in, over one or more runs. */
+/** The answer to a batch item, accumulated over one or more runs. */
 export interface BatchAnswer {
-  /** Tokens of earlier runs and this one. */
+  /** Tokens of earlier runs and of this one. */
   readonly tokens: readonly string[]
-  /** How many of them earlier runs gave. */
+  /** How many of `tokens` are from earlier runs. */
   readonly resumed: number
   readonly id?: string
   readonly model?: string
   readonly created?: number
   readonly finish?: string
   readonly usage?: Readonly<Record<string, number>>
-  /** The stream has named its end with `[DONE]`. */
+  /** Whether the stream has ended with `[DONE]`. */
   readonly done: boolean
 }
--- a/src/ownership/batch-outcome.ts
+++ b/src/ownership/batch-outcome.ts
@@ -3,9 +3,9 @@
 /** How one run of a batch item ended. */
 export type BatchOutcome =
   | { readonly type: 'finished', readonly result: ItemResult }
-  /** There was no connection, so nothing was sent. */
+  /** No connection could be opened, so nothing was sent. */
   | { readonly type: 'unreachable' }
-  /** It may not begin any more, so nothing was sent. */
+  /** The item was no longer allowed to start, so nothing was sent. */
   | { readonly type: 'withheld' }
-  /** No whole answer; `tokens` are all that there are, those of earlier runs with them. */
+  /** The answer is incomplete; `tokens` holds all tokens so far, including those of earlier runs. */
   | { readonly type: 'stopped', readonly ran: boolean, readonly tokens: readonly string[] }
--- a/src/ownership/batch-policy.ts
+++ b/src/ownership/batch-policy.ts
@@ -1,18 +1,18 @@
 /**
- * How batch work shares a server with online requests. All but `preempting` are baselines that the bench compares
- * with, and a way back for operators.
+ * How batch work shares a server with online requests. All types but `preempting` are baselines for benchmarks and
+ * fallbacks for operators.
  */
 export type BatchPolicy =
   /** No batch work. */
   | { readonly type: 'none' }
-  /** As much as connections allow, whatever else runs there. */
+  /** As many streams as the server may have in flight, regardless of online requests. */
   | { readonly type: 'forward' }
-  /** A fixed number of streams, half of what the server may have when left out, whatever else runs there. */
+  /** A fixed number of streams, by default half of what the server may have in flight, regardless of online requests. */
   | { readonly type: 'static', readonly streams?: number }
-  /** What the server's lagged load reports leave over; gives way when a report says so. */
+  /** Uses what the server's lagged load reports show as free, and preempts streams when a report shows too little. */
   | { readonly type: 'load reports' }
   /**
-   * Gives way to each online request as it begins, and fills what is idle. Items with long prompts are `paced` so that the
-   * online tail keeps its bound, or start `at once` where batch throughput is worth more; paced when left out.
+   * Preempts streams for each online request as it begins, and uses idle capacity. Items with long prompts are `paced`
+   * (the default) to bound the tail latency of online requests, or start `at once` for more batch throughput.
    */
   | { readonly type: 'preempting', readonly longPrompts?: 'paced' | 'at once' }
--- a/src/ownership/batch-run.ts
+++ b/src/ownership/batch-run.ts
@@ -13,11 +13,14 @@
 import { showBatchAnswer } from './show-batch-answer.js'
 import { stepBatchAnswer } from './step-batch-answer.js'
 
-/** Longest silence before the answer begins and in its middle, ms: a silent connection then holds no slot for good. */
+/**
+ * Longest wait for the first tokens and for each further read, ms, so that an unresponsive server doesn't hold a slot
+ * forever.
+ */
 const FIRST_TOKEN_TIMEOUT = 30_000
 const NEXT_TOKEN_TIMEOUT = 5_000
 const RUN_TIMEOUT = 600_000
-/** Statuses by which a server says that it can't serve now; the others say that the item can't be done. */
+/** Statuses below 500 that mean that the server can't serve the item now; others mean that the item is invalid. */
 const RETRYABLE_STATUSES = [408, 429]
 
 interface BatchRunOptions {
@@ -26,13 +29,13 @@
   readonly path: string
   readonly sender: Sender
   readonly now: () => number
-  /** Whether the engine goes on from tokens given. */
+  /** Whether the engine can resume from given tokens. */
   readonly canResume: boolean
-  /** Hears of each read that gave tokens; `gap` is the wait for them in ms, undefined for the first. */
+  /** Called after each read that yielded tokens; `gap` is the wait for them in ms, undefined for the first read. */
   readonly onTokens: (gap: number | undefined) => void
 }
 
-/** One run of a batch item on one server, over a connection for batch work only. */
+/** One run of a batch item on one server, over a connection reserved for batch work. */
 export class BatchRun {
   private readonly abort = new AbortController()
   private readonly streamed: boolean
@@ -47,9 +50,9 @@
   }
 
   /**
-   * Closes the stream; `run` then resolves with what there is. With `afterRead` it is closed right after the next tokens
-   * that aren't its last. A stream closed at any time may have ended at the server an instant before; its symptom is an
-   * item that ran whole and runs once more. After a read there is a whole step of the server until the next one.
+   * Closes the stream; `run` then resolves with the tokens so far. With `afterRead` the stream is closed right after
+   * its next tokens, unless they are its last. Closed at any other time, it may just have ended at the server, and the
+   * finished item would run again; right after a read, a whole engine step remains before the next one.
    */
   stop ({ afterRead = false } = {}): void {
     if (afterRead) this.stopsAfterRead = true
@@ -91,13 +94,13 @@
     }
   }
 
-  /** The fingerprint of the item itself, the same however it is run. */
+  /** Returns the item's fingerprint, which doesn't depend on how the item is run. */
   private hash (): string {
     const { work: { caller, service, item }, path } = this.options
     return hashRequest({ caller, service, path, body: Buffer.from(JSON.stringify({ ...item.body, stream: false })) })
   }
 
-  /** Reads to `[DONE]`; gives back what failed before it. */
+  /** Reads until `[DONE]`; returns the failure that occurred before it, if any. */
   private async readStream (open: OpenExchange): Promise<SendFailure | undefined> {
     const reader = new SseReader()
     for (let last: number | undefined; !this.answer.done;) {
--- a/src/ownership/batch-runner.ts
+++ b/src/ownership/batch-runner.ts
@@ -26,11 +26,11 @@
 
 const TICK_PERIOD = 50
 const CAPACITY_PERIOD = 500
-/** How long after the last item was at hand it looks every tick for more, ms; after that at each `want`. */
+/** How long after the last item the runner keeps ticking, ms; after that it ticks with each capacity report only. */
 const ACTIVE_PERIOD = 60_000
 
 /**
- * Runs batch items on the servers that this daemon owns: takes them from the batch source as admission allows, and
+ * Runs batch items on the servers that this daemon owns: takes items from the batch sources as admission allows, and
  * gives them back with their tokens when online requests need the server.
  */
 @scoped(Lifecycle.ContainerScoped)
@@ -71,7 +71,7 @@
     this.cancel = this.clock.every(CAPACITY_PERIOD, () => this.reportCapacity())
   }
 
-  /** Gives everything back as soon as its next tokens have come; what ends with them counts. */
+  /** Stops each run right after its next tokens and gives its item back; runs that end with these tokens are finished. */
   async drain (): Promise<void> {
     this.draining = true
     for (const batch of this.batches.values()) batch.stopAll()
@@ -83,7 +83,7 @@
     this.activeTicks.stop()
   }
 
-  /** Batch runs under way at the server. */
+  /** Returns the number of batch runs in flight at the server. */
   count (server: string): number {
     return this.batches.get(server)?.count ?? 0
   }
@@ -102,7 +102,7 @@
     if (this.tick()) this.activeTicks.wake()
   }
 
-  /** Whether an item was at hand not long ago, so that another may be any moment. */
+  /** Ticks the batches of all owned servers; returns whether there was work recently, so that more may follow soon. */
   private tick (): boolean {
     if (this.draining) return false
     for (const server of this.owners.listOwned()) this.findBatch(server)?.tick()
@@ -110,7 +110,7 @@
     return this.clock.now() < this.lastWorkAt + ACTIVE_PERIOD
   }
 
-  /** Says what could run here, so that enough is claimed ahead. */
+  /** Reports to the batch sources how many items could run here, so that enough are claimed ahead. */
   private reportCapacity (): void {
     if (this.draining) return
     this.update()
@@ -152,7 +152,7 @@
     return this.startRun(server, work, cost)
   }
 
-  /** Counts a start that admission allowed and that didn't come about. */
+  /** Counts a start that admission allowed but that didn't happen. */
   private recordMiss (why: 'server not open' | 'no item ready' | 'prefill'): undefined {
     this.metrics.count('batch_starts_missed_total', { why })
     return undefined
@@ -177,7 +177,7 @@
     })
     let preempted = false
     this.track(run.run().then(outcome => {
-      // Ended first: an item given back may be started here again at once, under the same id.
+      // Removes the run first: an item that is given back may be started here again at once, under the same id.
       batch.end(work.id)
       this.settler.settle(work, server, outcome, preempted)
     }))
--- a/src/ownership/batch-source-point.ts
+++ b/src/ownership/batch-source-point.ts
@@ -1,5 +1,5 @@
 import { ExtensionPoint } from '../kernel/extension-point.js'
 import type { BatchSource } from './batch-source.js'
 
-/** Where the source of batch items is contributed. */
+/** Extension point for sources of batch items. */
 export const batchSourcePoint = new ExtensionPoint<BatchSource>('batch sources')
--- a/src/ownership/batch-source.ts
+++ b/src/ownership/batch-source.ts
@@ -1,11 +1,11 @@
 import type { BatchWork } from './batch-work.js'
 
-/** Where the owners of servers get batch items from. `batch` contributes it; `ownership` uses it. */
+/** A source of batch items for the owners of servers. `batch` implements it; `ownership` uses it. */
 export interface BatchSource {
-  /** Says how many items of the service this daemon could run at once now, so that enough are claimed ahead. */
+  /** Reports how many items of the service this daemon could run now, so that enough are claimed ahead. */
   want (service: string, capacity: number): void
-  /** An item ready to run, at once, or undefined where none is. */
+  /** Returns an item that is ready to run, or undefined if there is none. */
   take (service: string): BatchWork | undefined
-  /** Calls `listener` when items of a service become ready after `take` gave none. */
+  /** Calls `listener` when items of a service become ready after `take` returned undefined. */
   subscribe (listener: (service: string) => void): void
 }
--- a/src/ownership/create-batch-admission.ts
+++ b/src/ownership/create-batch-admission.ts
@@ -1,10 +1,10 @@
 import type { BatchAdmissionOptions } from './batch-admission-options.js'
 import type { BatchAdmissionState } from './batch-admission-state.js'
 
-/** Share of the streams a server may have that are allowed before any has been observed. */
+/** Initial limit of streams, as a share of the sequences that the server may have in flight. */
 const INITIAL_SHARE = 0.5
 
-/** Batch admission on a server of which nothing is known yet. */
+/** Creates the admission state of a server that hasn't been observed yet. */
 export function createBatchAdmission ({ maxInFlight }: Pick<BatchAdmissionOptions, 'maxInFlight'>): BatchAdmissionState {
   return {
     online: 0,
--- a/src/ownership/dispatched-item-runner.ts
+++ b/src/ownership/dispatched-item-runner.ts
@@ -8,13 +8,14 @@
 import { Dispatcher } from '../routing/dispatcher.js'
 import type { BatchWork } from './batch-work.js'
 
+/** Deadline of one run, ms. */
 const ITEM_TIMEOUT = 60_000
-/** Requests that a server of a plain service may have in flight. */
+/** Most requests in flight at one server of a plain service. */
 const PLAIN_LIMIT = 64
 
 /**
- * Runs batch items to their end by the dispatcher, which knows how to run suspects alone: those of plain services, and
- * those of models that must not be closed half way.
+ * Runs batch items to completion through the dispatcher, which runs suspects in isolation: items of plain services, and
+ * items of models whose runs must not be interrupted.
  */
 @scoped(Lifecycle.ContainerScoped)
 export class DispatchedItemRunner {
--- a/src/ownership/health-state.ts
+++ b/src/ownership/health-state.ts
@@ -1,6 +1,6 @@
-/** What an owner makes of a server's answers to health checks. */
+/** Health of a server by its answers to health checks. */
 export interface HealthState {
   readonly state: 'open' | 'down'
-  /** Checks that failed since the last one that succeeded. */
+  /** Failed checks since the last successful one. */
   readonly failures: number
 }
--- a/src/ownership/load-slots.ts
+++ b/src/ownership/load-slots.ts
@@ -4,20 +4,20 @@
 
 const KIND = 'load-slot'
 
-/** Who loads weights in a slot, in the object `load-slot/N`. */
+/** The holder of a slot for loading weights, stored in the object `load-slot/N`. */
 interface Slot {
-  /** The server that loads; empty in a free slot. */
+  /** The server that loads; empty if the slot is free. */
   readonly server: string
-  /** Wall-clock ms after which the slot is free, whatever became of its holder. */
+  /** Wall-clock ms after which the slot is free, whatever happened to its holder. */
   readonly until: number
 }
 
 interface LoadSlotsOptions {
   readonly store: ObjectStore
   readonly date: () => number
-  /** Loads that the weight store's rate allows at once. */
+  /** Most loads that the weight store sustains at once. */
   readonly count: number
-  /** Longest time a slot is held without being claimed again, ms. */
+  /** How long a slot is held without being claimed again, ms. */
   readonly duration: number
 }
 
@@ -26,10 +26,10 @@
 const FREE: Slot = { server: '', until: 0 }
 
 /**
- * Keeps loads over the whole fleet within the rate of the weight store: a load needs one of a fixed number of slots
- * at the platform. Without it, a change for a pool makes every server of it load at once, and all of them slowly. A
- * slot is claimed by a conditional update, so two never hold the same one. A slot that nobody claims again, because
- * its holder is dead or lost track of it, is free after `keep` ms.
+ * Limits model loads over the whole fleet to what the weight store sustains: each load needs one of a fixed number of
+ * slots in the store, claimed by a conditional update. Without this limit, a change to a pool makes all of its servers
+ * load at once, each of them slowly. A slot that isn't claimed again, for example because its holder crashed, is free
+ * after `duration` ms.
  */
 export class LoadSlots {
   private readonly held = new Map<string, { readonly name: string, readonly version: number, readonly until: number }>()
@@ -37,10 +37,10 @@
   constructor (private readonly options: LoadSlotsOptions) {}
 
   /**
-   * Whether the server may begin to load now. Asking again while it holds a slot keeps it, by a write each time: two
-   * daemons that both believe to own the server know of one slot, the other may have freed it, and a load that went by
-   * what this one remembers would be one too many. A write without a reply may have taken a slot: trying the next one
-   * then takes two for one load. So it counts as refused, and the next call finds the slot by the server's name.
+   * Claims a slot; returns whether the server may start to load. Claiming again while a slot is held renews it by a
+   * write: another daemon that also believes it owns the server may have freed the slot meanwhile, and relying on the
+   * local copy would allow one load too many. A write without a reply may have taken the slot, and trying the next slot
+   * could take two for one load. It therefore counts as refused, and the next call finds the slot by the server's name.
    */
   async claim (server: string): Promise<boolean> {
     const current = this.held.get(server)
@@ -54,15 +54,16 @@
     return false
   }
 
-  /** Keeps the slot of a server that loads, with a write only when half of its time is over. */
+  /** Renews the slot of a server that is loading, by a write only once half of its duration is over. */
   async renew (server: string): Promise<void> {
     const current = this.held.get(server)
     if (current === undefined || current.until - this.options.date() <= this.options.duration / 2) await this.claim(server)
   }
 
   /**
-   * Takes over the slot that an earlier owner of the server claimed for it; says whether that is done. Without it the
-   * slot stays taken until its time runs out, although the load has long ended, and other servers wait for nothing.
+   * Takes over the slot that an earlier owner of the server claimed for it; returns false if the store couldn't be
+   * read. A slot that isn't taken over stays claimed until it expires, and blocks other servers although the load is
+   * over.
    */
   async adopt (server: string): Promise<boolean> {
     const slots = await this.list()
@@ -73,16 +74,16 @@
     return true
   }
 
-  /** Forgets a server that has another owner now, who adopts its slot. */
+  /** Forgets the slot of a server that now has another owner, which adopts it. */
   drop (server: string): void {
     this.held.delete(server)
   }
 
   /**
-   * Frees the server's slot, if it holds one; to be called again until the load has long ended. Two daemons that both
-   * believed to own the server have written its slot in turn: the one that stays meets a changed version, and a slot
-   * it forgot then kept every other server waiting. So it takes the slot as it is now and frees that the next time,
-   * as it does after a write that failed.
+   * Frees the server's slot, if it holds one; call it regularly while the server loads nothing, since a failed write is
+   * only repeated by the next call. If two daemons that both believed they own the server wrote its slot in turn, the
+   * version has changed: the slot is then read again and freed by the next call. Forgetting it instead would keep it
+   * claimed until it expires.
    */
   async release (server: string): Promise<void> {
     const slot = this.held.get(server)
@@ -101,7 +102,10 @@
     return 'ok'
   }
 
-  /** The slots that the server may claim: its own, or else those that are free. None while the platform is out. */
+  /**
+   * Returns the slots that the server may claim: its own if it has one, else the free ones; none if the store can't be
+   * read.
+   */
   private async listClaimable (server: string): Promise<readonly SlotObject[]> {
     const slots = await this.list() ?? []
     const own = slots.filter(({ value }) => value.server === server)
--- a/src/ownership/online-load.ts
+++ b/src/ownership/online-load.ts
@@ -17,27 +17,31 @@
 import { stepOnlineCounts } from './step-online-counts.js'
 
 /**
- * How long news waits for more, ms. That of an end is as urgent as that of a beginning: batch leaves the server empty until
- * it comes, which is several steps for each stretch of idle time.
+ * How long a change waits to be reported together with others, ms. The end of a request is as urgent as its start:
+ * batch work leaves the server idle until the owner knows of it.
  */
 const REPORT_DELAY = 3
+/** How often the daemon checks for reports that have to be repeated, ms. */
 const CHECK_PERIOD = 1_000
 /**
- * How often a level that hasn't changed is told again, ms. Frames are lost only with their connection, and a level is
- * told again within a second over the next one; this is for what nothing shows to be lost.
+ * How often unchanged counts are reported again, ms. Reports lost with their connection are repeated within
+ * `CHECK_PERIOD` over the next one; this covers any other loss.
  */
 const REPEAT_PERIOD = 5_000
-/** Daemons of earlier versions of the protocol forget a level after 3.5 s. */
+/**
+ * First protocol version whose daemons keep counts for longer than 3.5 s; earlier ones need a report every
+ * `CHECK_PERIOD`.
+ */
 const LONG_LIFETIME_VERSION = 3
 const MESSAGE_TYPE = 'online'
 
-/** What an owner was told last: when, over which session, and whether of nothing more. */
+/** The last report sent to an owner: when, over which session, and whether it was empty. */
 interface SentReport { readonly at: number, readonly session: ReturnType<PeerLinks['findSession']>, readonly empty: boolean }
 
 /**
- * Online requests in flight at backend servers. Each daemon tells a server's owner of its own, as they begin and end,
- * and the owner adds up what all tell: that is how batch work learns of an online request in one hop, where the
- * server's own report would come too late.
+ * Online requests in flight at backend servers. Each daemon reports its own to the server's owner as they begin and
+ * end, and the owner adds up all reports. Batch admission thus learns of an online request within one network hop, long
+ * before the server's own load report shows it.
  */
 @scoped(Lifecycle.ContainerScoped)
 export class OnlineLoad implements Part {
@@ -49,7 +53,7 @@
     peerHandlerPoint.of({ type: MESSAGE_TYPE, handle: (message, from) => this.receive(message, from) })
   ]
 
-  /** This daemon's own. */
+  /** Online requests of this daemon, by server. */
   private readonly own = new Map<string, number>()
   private state: OnlineCountsState = { servers: new Map(), newest: new Map() }
   private readonly scheduled = new Map<string, () => void>()
@@ -77,12 +81,12 @@
     for (const cancel of this.scheduled.values()) cancel()
   }
 
-  /** Online requests in flight at the server, as its owner knows them. */
+  /** Returns the online requests in flight at a server that this daemon owns. */
   count (server: string): number {
     return countOnline(this.state, server)
   }
 
-  /** `listener` hears of each server whose count has changed. */
+  /** Calls `listener` with each server whose count has changed. */
   subscribe (listener: (server: string) => void): void {
     this.listeners.add(listener)
   }
@@ -111,7 +115,7 @@
     this.sent.set(owner, { at: this.clock.now(), session: this.links.findSession(owner), empty: counts.length === 0 })
   }
 
-  /** Tells again whom a frame may not have reached, so that a lost frame or a new owner heals. */
+  /** Repeats reports that may not have arrived, which covers lost frames and new owners. */
   private repeatReports (): void {
     const alive = new Set(this.members.all().map(({ instance }) => instance.name))
     for (const owner of this.sent.keys()) if (!alive.has(owner)) this.sent.delete(owner)
--- a/src/ownership/owner-routes.ts
+++ b/src/ownership/owner-routes.ts
@@ -6,7 +6,10 @@
 import { partRegistry } from '../kernel/part-registry.js'
 import { ServerOwners } from './server-owners.js'
 
-/** Shows operators which servers this daemon owns now, as it sees it: two daemons may name one server while they find each other. */
+/**
+ * Shows operators which servers this daemon owns by its own view. Two daemons may list the same server until their
+ * views agree.
+ */
 @scoped(Lifecycle.ContainerScoped)
 export class OwnerRoutes implements Part {
   readonly extensions = ([
--- a/src/ownership/owner-table.ts
+++ b/src/ownership/owner-table.ts
@@ -1,6 +1,6 @@
 import { rankOwners } from '../coordination/rank-owners.js'
 
-/** A server and a daemon as far as ownership needs them. */
+/** The fields of a server or daemon on which ownership depends. */
 interface RegionMember { readonly name: string, readonly region: string }
 
 interface Region { readonly daemons: ReadonlySet<string>, readonly owners: ReadonlyMap<string, string> }
@@ -8,12 +8,11 @@
 const EMPTY: Region = { daemons: new Set(), owners: new Map() }
 
 /**
- * Who should own each server: the first in rendezvous order among the daemons of its region.
+ * Assigns each server to the first daemon of its region in rendezvous order.
  *
- * A ranking hashes once a daemon, and ranking 600 servers among 380 daemons anew at each change held the loop, and
- * with it every stream, for half a second. The first among some is the first among those that left and the first of
- * those that stayed: so only servers whose owner has gone are ranked anew, and the others compare their owner with
- * the daemons that have come.
+ * Updates are incremental, since ranking all servers among all daemons at every change would block the event loop. The
+ * first of all daemons is the first among the previous owner, if it is still there, and the added daemons. So only
+ * servers whose owner has gone are ranked anew; for the others, the owner is compared with the added daemons.
  */
 export class OwnerTable {
   private regions = new Map<string, Region>()
@@ -28,6 +27,7 @@
     this.regions = next
   }
 
+  /** Returns the daemon that should own the server, undefined if its region has none. */
   find (server: string): string | undefined {
     for (const { owners } of this.regions.values()) {
       const owner = owners.get(server)
@@ -36,7 +36,7 @@
     return undefined
   }
 
-  /** Servers that `daemon` should own. */
+  /** Returns the servers that `daemon` should own. */
   list (daemon: string): readonly string[] {
     return [...this.regions.values()].flatMap(({ owners }) => [...owners].filter(([, owner]) => owner === daemon).map(([server]) => server))
   }
--- a/src/ownership/plan-order.ts
+++ b/src/ownership/plan-order.ts
@@ -3,10 +3,10 @@
 import type { ServerState } from './server-state.js'
 
 /**
- * The next order that brings a server nearer to what is wanted, or undefined where there is none to give now. It
- * looks only at the level, what is wanted against what the server says it has, so that a lost order, a lost reply
- * or another owner's order is set right whenever the server is read again. One model loads at a time: what is
- * wanted may change meanwhile, and the weight store is slow.
+ * Returns the next order that brings a server closer to its placement, or undefined if there is none now. It compares
+ * the desired state with the reported one, so that a lost order, a lost reply or another owner's order is corrected
+ * whenever the server is read again. One model loads at a time, because the placement may change meanwhile and the
+ * weight store is slow.
  */
 export function planOrder ({ models, role }: Pick<Placement, 'models' | 'role'>, state: ServerState): ServerOrder | undefined {
   if (role !== undefined && state.role !== role) return { kind: 'role', role }
--- a/src/ownership/plan-preempting.ts
+++ b/src/ownership/plan-preempting.ts
@@ -4,25 +4,26 @@
 import { limitIdleStreams } from './limit-idle-streams.js'
 
 /**
- * Prompt tokens of batch that may wait or prefill in the engine at once while nothing online runs there. They lengthen the
+ * Most prompt tokens of batch items that may wait or prefill in the engine while the server is idle. They lengthen the
  * first steps of a refill, for which the next online request waits.
  */
 const MAX_PREFILL_IDLE = 192
-/** The same for starts beside online requests, and how many there are at once; items that the engine has cached stay within it. */
+/** The same beside online requests, and most starts at once. Items that the engine has cached stay within both. */
 const MAX_PREFILL_BESIDE_ONLINE = 64
 const MAX_STARTS_BESIDE_ONLINE = 3
-/** Share of the online peak up to which batch may fill beside online requests. */
+/** Share of the online peak up to which batch may fill the server beside online requests. */
 const PEAK_SHARE = 0.75
 /**
- * ms between starts beside online requests, and ms more for each token that the last one had to prefill beyond one
- * cache block: the engine prefills between the steps of online requests, and each of them gets its token late by that
- * much. Without the part for tokens, items with long prompts bring the symptom of slow steps all through a burst.
+ * Pause between starts beside online requests, ms, and its extension for each token beyond one cache block that the
+ * last start had to prefill. The engine prefills between the steps of online requests, whose next tokens are delayed by
+ * it.
  */
 const START_PAUSE = 20
 const PAUSE_PER_TOKEN = 10
+/** Tokens of one cache block. */
 const FREE_TOKENS = 16
 
-/** ms without an online request after which a server counts as one that has none. */
+/** Time without online requests after which a server counts as unused by them, ms. */
 const QUIET_PERIOD = 60_000
 
 interface PlanOptions {
@@ -34,26 +35,24 @@
 }
 
 /**
- * Gives way to online requests and fills what is idle.
+ * Plans starts and preemptions of batch streams around online requests.
  *
- * With nothing online, batch has all but a headroom. Starts are paced by first tokens: the engine admits requests as
- * they come, so whatever batch prompts wait in it go before the first online request of a burst; the symptom would be
- * a first token late by all of them. At most `PREFILL_IDLE` tokens can.
+ * On an idle server, batch may use everything but a headroom. Starts are limited by the prompt tokens that still wait
+ * (`MAX_PREFILL_IDLE`): the engine admits requests in order of arrival, so that waiting batch prompts delay the first
+ * token of the next online request.
  *
- * With online requests in flight, the server is kept no busier than a share of what online alone brings it to at its
- * peaks: the steps of the tail are those it has without batch. The latest streams give way first, having the fewest
- * tokens to bring back. Of those within the share, one whose first token hasn't come gives way to each online request
- * that `arrived`: the engine prefills in the order of arrival, and the symptom would be a first token late by all of a
- * long batch prompt, or of a cached one that has been evicted.
+ * With online requests in flight, batch may fill the server up to a share of its recent online peak, so that steps
+ * aren't longer than online requests alone make them. The latest streams are preempted first, as they have the fewest
+ * tokens to bring back. A stream within the share that has no token yet is preempted by each online request that
+ * arrives, whose first token would otherwise wait for that stream's prefill.
  *
- * The first online request on an idle server has already waited for a batch step. All streams give way to it, so that its
- * own step isn't long as well; kept ones were the symptom behind a third of the requests beyond the 99th percentile.
- * They come back when a batch step's time has passed: the running step is over then and the request prefills.
+ * The first online request on an idle server preempts all streams: it has already waited for one batch step, and its
+ * own step must not be long as well. Batch starts again after the time of one step, when the running step is over and
+ * the request prefills.
  *
- * While prompts that were started still owe, only items that prefill no more than a cache block start: the engine
- * cuts prompts into chunks as it likes, and a step with much to prefill was the symptom behind a p99 of 1.15 times that
- * without batch. Fewer such steps is all that is ours to choose. A server that has had no online request for a minute owes
- * nobody: paced there, a night of long prompts would run at a fifth of its rate for no one's good.
+ * While there is prefill debt, only items that prefill at most one cache block start. The engine divides prompts into
+ * chunks as it likes, so only the number of long steps can be limited. After `QUIET_PERIOD` without online requests,
+ * starts aren't paced, since there are none to delay.
  */
 export function planPreempting (state: BatchAdmissionState, now: number, { maxInFlight, before, paced }: PlanOptions): readonly BatchAdmissionEffect[] {
   const { streams, online, limit, peak, peakAt } = state
--- a/src/ownership/read-batch-policy.ts
+++ b/src/ownership/read-batch-policy.ts
@@ -1,7 +1,7 @@
 import type { Settings } from '../kernel/settings.js'
 import type { BatchPolicy } from './batch-policy.js'
 
-/** The policy that the daemon's settings name; `preempting` where they name none. */
+/** Returns the policy named in the daemon's settings, by default `preempting`. */
 export function readBatchPolicy ({ batchPolicy }: Pick<Settings, 'batchPolicy'>): BatchPolicy {
   const { type = 'preempting', streams, longPrompts } = batchPolicy ?? {}
   if (type === 'static') return { type, streams }
--- a/src/ownership/recent-runs.ts
+++ b/src/ownership/recent-runs.ts
@@ -1,9 +1,9 @@
-/** Runs remembered at most. */
+/** Most runs remembered. */
 const MAX_RUNS = 4_096
-/** How long an engine is taken to keep the blocks of a stream that gave way, ms. */
+/** How long an engine is assumed to keep the cache blocks of a preempted stream, ms. */
 const CACHE_LIFETIME = 30_000
 
-/** Where batch items last gave way, so that their prefill there is known to be cheap. */
+/** Servers on which batch items were last preempted, where their prefill is likely cached. */
 export class RecentRuns {
   private readonly runs = new Map<string, { readonly server: string, readonly at: number }>()
 
--- a/src/ownership/run-settler.ts
+++ b/src/ownership/run-settler.ts
@@ -8,7 +8,7 @@
 import { RecentRuns } from './recent-runs.js'
 import { ServerWatch } from './server-watch.js'
 
-/** Tells the batch source, once a run, what became of its item. */
+/** Reports the outcome of each run to the batch source, exactly once. */
 @scoped(Lifecycle.ContainerScoped)
 export class RunSettler {
   readonly recent = new RecentRuns()
@@ -20,9 +20,11 @@
     @inject(tokens.clock) private readonly clock: Clock
   ) {}
 
-  /** `gaveWay` tells whether the run was closed for online requests. */
+  /** `preempted` says whether this daemon stopped the run. */
   settle (work: BatchWork, server: string, outcome: BatchOutcome, preempted: boolean): void {
     if (outcome.type === 'finished') return work.finish(outcome.result)
+    // A server whose process has ended refuses connections at once, and would fail item after item until its next
+    // health checks.
     if (outcome.type === 'unreachable') this.watch.markDown(server)
     if (outcome.type !== 'stopped') return this.settleUnsent(work, server)
     const why = work.signal.aborted ? 'aborted' : preempted ? 'gave way' : 'server failed'
@@ -34,11 +36,7 @@
     work.giveBack(why, { ran: outcome.ran, tokens: outcome.tokens.length > 0 ? outcome.tokens : undefined, server })
   }
 
-  /**
-   * Nothing was attempted. A server whose process ended refuses each connection at once, and so would take and fail item
-   * after item until the next health checks; the symptom is a job whose items end as failed by a server that ran none of
-   * them. It therefore counts as down until a check passes.
-   */
+  /** Gives back an item that was never sent. */
   private settleUnsent (work: BatchWork, server: string): void {
     work.giveBack(work.signal.aborted ? 'aborted' : 'gave way', { ran: false, tokens: work.resumeFrom, server })
   }
--- a/src/ownership/served-models.ts
+++ b/src/ownership/served-models.ts
@@ -6,7 +6,7 @@
 /** A model service that a server's pool serves. */
 interface ServedModel { readonly service: string, readonly model: Model }
 
-/** Which model services each backend server is for, by the configuration and the server's pool. */
+/** Finds the model services that a backend server serves, by the configuration and the server's pool. */
 @scoped(Lifecycle.ContainerScoped)
 export class ServedModels {
   constructor (
@@ -23,7 +23,7 @@
     })
   }
 
-  /** Sequences that may be in flight at the server, where a model's configuration says. */
+  /** Returns how many sequences may be in flight at the server, undefined if it serves no model. */
   findLimit (server: string): number | undefined {
     const served = this.list(server)
     return served.length === 0 ? undefined : Math.min(...served.map(({ model }) => model.maxInFlight))
--- a/src/ownership/server-batch.ts
+++ b/src/ownership/server-batch.ts
@@ -7,17 +7,17 @@
 import { createBatchAdmission } from './create-batch-admission.js'
 import type { StartedRun } from './started-run.js'
 
-/** How long a run that is stopped without haste may wait for its next tokens, ms. */
+/** How long a run that is stopped gracefully may wait for its next tokens, ms. */
 const LAST_READ_TIMEOUT = 250
 
 interface ServerBatchOptions {
   readonly admission: BatchAdmissionOptions
   readonly clock: Clock
-  /** Starts one item if there is one whose prefill is within `prefill` tokens. */
+  /** Starts one item if there is one that prefills at most `prefill` tokens. */
   readonly start: (prefill: number) => StartedRun | undefined
 }
 
-/** Batch work on one server that this daemon owns: the admission decisions and the runs that they start and stop. */
+/** Batch work on one server that this daemon owns: takes admission decisions, and starts and stops runs accordingly. */
 export class ServerBatch {
   admission: BatchAdmissionOptions
   private state: BatchAdmissionState
@@ -30,12 +30,12 @@
     this.state = createBatchAdmission(options.admission)
   }
 
-  /** Runs under way. */
+  /** Runs in flight. */
   get count (): number {
     return this.stops.size
   }
 
-  /** Items that it could run at once. */
+  /** Items that could run at once. */
   get capacity (): number {
     return this.admission.policy.type === 'none' ? 0 : Math.ceil(this.state.limit)
   }
@@ -65,9 +65,10 @@
   }
 
   /**
-   * Stops each run right after its next tokens, or after 250 ms. Sequences that were begun together end in the same step:
-   * stopped at once in that instant, some 20 items that had ended ran again. The 250 ms are waited out in two parts,
-   * because a loop that is late runs timers before what has come in: in one, it closed runs that had ended long before.
+   * Stops each run right after its next tokens, or after `LAST_READ_TIMEOUT`. Sequences that started together end in
+   * the same step; closing them immediately may repeat items that have just ended. The timeout is split into two
+   * timers, because a delayed event loop runs due timers before it reads sockets: a single timer would close runs whose
+   * end has already arrived.
    */
   stopAll (): void {
     const stopEach = (afterRead: boolean): void => {
@@ -79,9 +80,8 @@
   }
 
   /**
-   * Stops all runs and starts none any more: the server has another owner. Each run that ends makes room, and without
-   * this the end of the first one starts the next item for a server that nobody here keeps account of; the daemon crashed
-   * on that, with all that it had in flight.
+   * Stops all runs and starts no more, because the server has another owner. Otherwise each run that ends would make
+   * room and start another item, on a server that this daemon no longer tracks.
    */
   close (): void {
     this.closed = true
--- a/src/ownership/server-order.ts
+++ b/src/ownership/server-order.ts
@@ -1,4 +1,4 @@
-/** An order to a backend server; its fencing number is added when it is sent. */
+/** An order to a backend server; a fencing number is added when it is sent. */
 export type ServerOrder =
   | { readonly kind: 'load', readonly model: string }
   | { readonly kind: 'unload', readonly model: string }
--- a/src/ownership/server-orders.ts
+++ b/src/ownership/server-orders.ts
@@ -18,25 +18,28 @@
 import type { ServerState } from './server-state.js'
 
 const RECONCILE_PERIOD = 500
-/** An order that hasn't been answered is given up; `longestAction` of the claims allows for it. */
+/** Timeout of an order, ms; must be less than `longestAction` of the claims. */
 const ORDER_TIMEOUT = 1_500
 const STATE_TIMEOUT = 400
-/** Loads over the fleet at once. */
+/** Most loads over the fleet at once. */
 const MAX_LOADS = 2
-/** A slot that is lost, with a daemon or a reply, stops other loads for at most this long; a load claims it anew before. */
+/**
+ * How long a slot is held without renewal, ms; a slot lost by a crash or a lost reply blocks other loads for at most
+ * this time.
+ */
 const SLOT_DURATION = 6_000
 
 /**
- * Brings the servers that this daemon owns to what the configuration wants of them: reads what each has, and orders
- * the difference, one order at a time. An order carries the fencing number of a freshly proven claim; to servers
- * that don't check it, none goes out before an earlier owner's last one must have arrived.
+ * Reconciles the servers that this daemon owns with their configured placement: reads the state of each and sends one
+ * order at a time. An order carries the fencing number of a freshly proven claim; to servers that don't check it, no
+ * order is sent before the last one of an earlier owner must have arrived.
  */
 @scoped(Lifecycle.ContainerScoped)
 export class ServerOrders implements Part {
   private readonly agent = new Agent({ connections: 1, keepAliveTimeout: RECONCILE_PERIOD, keepAliveMaxTimeout: RECONCILE_PERIOD })
   private readonly slots: LoadSlots
   private readonly busy = new Set<string>()
-  /** Owned servers whose slots for loads an earlier owner may have left. */
+  /** Owned servers whose load slots have been taken over from any earlier owner. */
   private readonly adopted = new Set<string>()
   private cancel = (): void => {}
 
@@ -96,10 +99,10 @@
       else await this.slots.release(name)
       return
     }
-    // A slot that waits for its owner's claim to settle keeps settled owners of other servers from loading meanwhile.
+    // A slot claimed before the ownership claim settles would block settled owners of other servers.
     if (!this.owners.isSettled(name, placement.checksFencing)) return
     if (order.kind === 'load' && !await this.slots.claim(name)) return
-    // The proof comes with the store's reply; the next visit finds it.
+    // The proof arrives with the store's reply; the next reconciliation uses it.
     if (this.owners.getAuthority(name, placement.checksFencing) === undefined) return this.owners.confirm(name, placement.checksFencing)
     if (!await this.isCurrent(configuration)) return
     const fencing = this.owners.getAuthority(name, placement.checksFencing)
@@ -107,9 +110,9 @@
   }
 
   /**
-   * Whether the configuration is the one accepted last. A daemon that was frozen claims its servers anew, under higher
-   * fencing numbers than anybody's, before it has heard what changed meanwhile; by its old configuration it then unloads
-   * what operators have ordered, and no server refuses that. One read of the platform an order rules it out.
+   * Whether the configuration is the last accepted one, by a read of the store. A daemon that was paused claims its
+   * servers again, under the highest fencing numbers, possibly before it has received the current configuration.
+   * Servers wouldn't refuse its outdated orders.
    */
   private async isCurrent ({ version }: Configuration): Promise<boolean> {
     const manifest = await this.objects.readManifest('background')
--- a/src/ownership/server-owners.ts
+++ b/src/ownership/server-owners.ts
@@ -21,12 +21,13 @@
 const ENTRY_POOL = 'entry'
 const CLAIM_KIND = 'owner'
 
-/** What the platform keeps of a claim, in the object `owner/SERVER`. */
+/** A claim as stored in the object `owner/SERVER`. */
 interface ClaimObject { readonly holder: string }
 
 /**
- * Who owns each backend server, and this daemon's claims on those it owns. Health, load and batch admission follow
- * the ranking at once, because two who do them waste a little work and harm nothing; orders need the claim.
+ * Determines the owner of each backend server and holds this daemon's claims on those that it owns. Health checks, load
+ * reports and batch admission follow the ranking immediately, since two owners merely waste some work; orders need the
+ * claim.
  */
 @scoped(Lifecycle.ContainerScoped)
 export class ServerOwners implements Part {
@@ -59,36 +60,42 @@
     this.cancel()
   }
 
-  /** The daemon that should own the server, as this one sees it. */
+  /** Returns the daemon that should own the server by this daemon's view. */
   findOwner (server: string): string | undefined {
     return this.table.find(server)
   }
 
-  /** Servers that this daemon should own. */
+  /** Returns the servers that this daemon should own. */
   listOwned (): readonly string[] {
     return this.owned
   }
 
-  /** Fencing number of this daemon's claim on the server; 0 while it has none. */
+  /** Returns the fencing number of this daemon's claim on the server; 0 if it holds none. */
   getFencing (server: string): number {
     const state = this.claims.get(server)
     return state?.type === 'held' ? state.version : 0
   }
 
-  /** Whether a fresh proof would allow an order now; to servers that ignore fencing numbers, not for 5.5 s after a claim. */
+  /**
+   * Whether a fresh proof would permit an order now; for servers that ignore fencing numbers, not until 5.5 s after the
+   * claim.
+   */
   isSettled (server: string, checksFencing: boolean): boolean {
     const state = this.claims.get(server)
     return state?.type === 'held' && (checksFencing || isClaimSettled(state, this.clock.now(), this.options))
   }
 
-  /** Asks for a fresh proof of the claim where one is of use now; `getAuthority` tells later whether it came. */
+  /**
+   * Requests a fresh proof of the claim if it would permit an order; `getAuthority` returns a number once it has
+   * arrived.
+   */
   confirm (server: string, checksFencing: boolean): void {
     if (this.isSettled(server, checksFencing)) this.handle(server, { type: 'confirm' })
   }
 
   /**
-   * The fencing number with which an order may be sent in this very turn, or undefined. It compares the clock
-   * itself, so that a daemon that was frozen past its proof sends nothing even before any timer has run.
+   * Returns the fencing number with which an order may be sent in this very turn, or undefined. It compares the clock
+   * itself, so that a daemon that was paused past its proof sends nothing even before any timer has run.
    */
   getAuthority (server: string, checksFencing: boolean): number | undefined {
     this.pauses.check()
@@ -98,7 +105,7 @@
     return checksFencing || isClaimSettled(state, now, this.options) ? state.version : undefined
   }
 
-  /** `listener` runs when the servers that this daemon should own have changed. */
+  /** Calls `listener` when the set of servers that this daemon should own has changed. */
   subscribe (listener: () => void): void {
     this.listeners.add(listener)
   }
--- a/src/ownership/server-state.ts
+++ b/src/ownership/server-state.ts
@@ -1,4 +1,4 @@
-/** What a backend server says of itself. */
+/** State that a backend server reports of itself. */
 export interface ServerState {
   readonly models: ReadonlyArray<{ readonly model: string, readonly state: 'loading' | 'loaded' }>
   readonly role: string
--- a/src/ownership/server-view-publisher.ts
+++ b/src/ownership/server-view-publisher.ts
@@ -19,11 +19,11 @@
 import { ServerWatch } from './server-watch.js'
 
 const CHECK_PERIOD = 100
-/** A view that isn't told again for so many periods is dropped: its owner may be gone, and it holds nothing any more. */
+/** Number of periods without an update after which a view is dropped, since its owner may be gone. */
 const MISSED_PERIODS = 4
 const MESSAGE_TYPE = 'views'
 
-/** Tells the daemons of a region how its servers are, from each server's owner. */
+/** Publishes views of this daemon's servers to all daemons of the region. */
 @scoped(Lifecycle.ContainerScoped)
 export class ServerViewPublisher implements Part {
   readonly extensions = [peerHandlerPoint.of({ type: MESSAGE_TYPE, handle: message => this.receive(message) })]
@@ -70,7 +70,10 @@
     }
   }
 
-  /** An owner whose claim hasn't come yet speaks under the number last known, so that soft state isn't held up. */
+  /**
+   * Builds the view of a server. Without a claim yet, it uses the last known fencing number, so that soft state isn't
+   * delayed.
+   */
   private buildView (server: string): ServerView {
     return {
       server,
@@ -82,7 +85,7 @@
     }
   }
 
-  /** A change of state is news at once; counts are told again at the period. */
+  /** A view is due immediately when its state or limit changes, and otherwise once a period. */
   private isDue (view: ServerView, now: number, period: number): boolean {
     const lastPublished = this.published.get(view.server)
     return lastPublished === undefined || lastPublished.view.state !== view.state || lastPublished.view.limit !== view.limit || now >= lastPublished.at + period
--- a/src/ownership/server-watch.ts
+++ b/src/ownership/server-watch.ts
@@ -16,22 +16,25 @@
 
 const POLL_PERIOD = 500
 const POLL_TIMEOUT = 400
-/** A check that is given up this much after its time says more of this daemon than of the server, ms. */
+/** A check that times out this much late says more about this daemon than about the server, ms. */
 const LATE_MARGIN = 200
-/** Past several polls, so that each needn't connect anew; a connection gone silent is closed by the poll that times out on it. */
+/** Keeps connections open over several polls, ms; an unresponsive connection is closed by the poll that times out on it. */
 const KEEP_ALIVE = 4 * POLL_PERIOD
 const HEALTHY: HealthState = { state: 'open', failures: 0 }
 
-/** What a poll of one server told. */
+/** Result of the last poll of one server. */
 interface PollResult { readonly health: HealthState, readonly sequences: number }
 
-/** Health of the servers that this daemon owns, and their lagged load where the policy asks for it; of no others, so that polls are O(servers). */
+/**
+ * Polls the health of the servers that this daemon owns, and their load if the policy uses it. Only owned servers are
+ * polled, so that the number of polls doesn't grow with the number of daemons.
+ */
 @scoped(Lifecycle.ContainerScoped)
 export class ServerWatch implements Part {
   private readonly agent = new Agent({ connections: 1, keepAliveTimeout: KEEP_ALIVE, keepAliveMaxTimeout: KEEP_ALIVE })
   private readonly results = new Map<string, PollResult>()
   private readonly listeners = new Set<(server: string) => void>()
-  /** Only the policy that goes by load reports needs them; asking for them anyway was half of what polls cost. */
+  /** Only the `load reports` policy uses the server's load. */
   private readonly pollsLoad: boolean
   private cancel = (): void => {}
 
@@ -55,7 +58,7 @@
     await this.agent.destroy()
   }
 
-  /** Leaving by the platform's list or the operators' placement, down by health checks, or open. */
+  /** Returns `leaving` by the instance list or the placement, `down` by health checks, and otherwise `open`. */
   getState (server: string): 'open' | 'leaving' | 'down' {
     const instance = this.list.all.find(({ name }) => name === server)
     if (instance === undefined || instance.state === 'leaving') return 'leaving'
@@ -63,19 +66,19 @@
     return this.results.get(server)?.health.state ?? 'open'
   }
 
-  /** Sequences running and waiting at the server, as it last reported; 0 where nobody asks. */
+  /** Returns the sequences running and waiting at the server by its last load report; 0 if its load isn't polled. */
   getReported (server: string): number {
     return this.results.get(server)?.sequences ?? 0
   }
 
-  /** Takes the server for down until a check of it passes. */
+  /** Marks the server as down until a check passes. */
   markDown (server: string): void {
     const { sequences } = this.results.get(server) ?? { sequences: 0 }
     if (this.results.get(server)?.health.state !== 'down') this.timeline.record({ part: 'ownership', what: 'server down', server, detail: 'unreachable' })
     this.results.set(server, { health: { state: 'down', failures: 0 }, sequences })
   }
 
-  /** `listener` runs after each poll of a server. */
+  /** Calls `listener` after each poll of a server. */
   subscribe (listener: (server: string) => void): void {
     this.listeners.add(listener)
   }
@@ -99,9 +102,9 @@
   }
 
   /**
-   * A daemon that gets no processor for a while gives its checks up late, with the answers unread. Its servers, all of them
-   * at once, would be taken for down and callers refused, while every server is well. A check that was given up late says
-   * nothing; a server that is really silent is found by the first checks that are in time.
+   * Classifies a check without an answer. A daemon that is short of CPU time runs its timeouts late, with answers
+   * unread; counting these checks as failed would mark all of its servers down at once. Late checks are therefore
+   * ignored, and an unresponsive server fails the checks that time out on time.
    */
   private classifyTimeout (startedAt: number): 'failed' | 'late' {
     return this.clock.now() - startedAt > POLL_TIMEOUT + LATE_MARGIN ? 'late' : 'failed'
--- a/src/ownership/show-batch-answer.ts
+++ b/src/ownership/show-batch-answer.ts
@@ -1,8 +1,8 @@
 import type { BatchAnswer } from './batch-answer.js'
 
 /**
- * A whole answer in the OpenAI shape, as an unstreamed request would have got it. Completion tokens count those of
- * earlier runs too; `usage` is left out where the server gave none.
+ * Returns a complete answer in the OpenAI format, as for an unstreamed request. Completion tokens include those of
+ * earlier runs; `usage` is omitted if the server didn't send it.
  */
 export function showBatchAnswer ({ tokens, resumed, id, model, created, finish, usage }: BatchAnswer, chat: boolean): unknown {
   const text = tokens.join('')
--- a/src/ownership/step-batch-answer.ts
+++ b/src/ownership/step-batch-answer.ts
@@ -10,7 +10,7 @@
   readonly choices?: ReadonlyArray<{ readonly text?: string, readonly delta?: { readonly content?: string | null }, readonly finish_reason?: string | null }>
 }
 
-/** Takes the data of one event of a streamed answer; undefined where it isn't one. */
+/** Applies the data of one event of a streamed answer; returns undefined if it isn't a valid chunk. */
 export function stepBatchAnswer (answer: BatchAnswer, data: string): BatchAnswer | undefined {
   if (data === '') return answer
   if (data === DONE) return { ...answer, done: true }
--- a/src/ownership/step-health.ts
+++ b/src/ownership/step-health.ts
@@ -1,9 +1,9 @@
 import type { HealthState } from './health-state.js'
 
-/** Checks in a row that must fail: one lost answer doesn't take a server out. */
+/** Consecutive failures after which a server is down; a single lost answer has no effect. */
 const FAILURES_TO_DOWN = 3
 
-/** The next state after one health check. One success opens a server again; a check that came late tells nothing. */
+/** Returns the state after one health check. One success reopens a server; late checks are ignored. */
 export function stepHealth ({ state, failures }: HealthState, event: 'passed' | 'failed' | 'late'): HealthState {
   switch (event) {
     case 'passed': return { state: 'open', failures: 0 }
--- a/src/ownership/step-online-counts.ts
+++ b/src/ownership/step-online-counts.ts
@@ -3,17 +3,17 @@
 import type { OnlineCountsState } from './online-counts-state.js'
 
 /**
- * How long a level counts that isn't told again, ms. Reporters repeat theirs every 5 s; one that can't reach us, and is
- * no dead member either, would otherwise hold batch back for good, the symptom being a server that stays idle.
+ * How long counts are kept without a new report, ms. Reporters repeat theirs every 5 s; the counts of one that can't
+ * reach this daemon, but is still a live member, would otherwise hold back batch work forever.
  */
 const REPORT_LIFETIME = 17_500
-/** How long a message numbered lower than one before it is taken for a late one, ms. */
+/** How long a report with a lower number than the newest counts as reordered, ms. */
 const REORDER_WINDOW = 3_500
 
 /**
- * The next counts. Levels, not differences, are told: a lost or late frame is healed by the next one, and a message
- * older than the newest of its reporter is ignored, unless nothing newer came for 3.5 s: a reporter
- * that restarts with its clock set back would otherwise never be heard again, and batch not give way to its requests.
+ * Returns the next counts. Reports carry absolute counts, so that the next report corrects a lost or late one. Reports
+ * older than the newest of their reporter are ignored, but only for `REORDER_WINDOW`: a reporter that restarts with its
+ * clock set back would otherwise be ignored forever.
  */
 export function stepOnlineCounts (state: OnlineCountsState, event: OnlineCountsEvent, now: number): OnlineCountsState {
   switch (event.type) {
@@ -31,7 +31,7 @@
 type Servers = OnlineCountsState['servers']
 type Reports = Servers extends ReadonlyMap<string, infer Reports> ? Reports : never
 
-/** Copies only what the message changes. */
+/** Copies only what the report changes. */
 function applyReport (servers: Servers, { reporter, counts }: OnlineCountsEvent & { readonly type: 'told' }, now: number): Servers {
   const next = new Map(servers)
   for (const server of new Set([...servers.keys(), ...counts.keys()])) {
--- a/src/ownership/work-queue.ts
+++ b/src/ownership/work-queue.ts
@@ -9,12 +9,12 @@
 import { DispatchedItemRunner } from './dispatched-item-runner.js'
 import { ServedModels } from './served-models.js'
 
-/** Items that run by the dispatcher at once. */
+/** Most items that run through the dispatcher at once. */
 const MAX_DISPATCHED = 4
 /** How long an item is held for one server, ms. */
 const MAX_HOLD = 1_000
 
-/** Batch items on their way from the source to a server, those that can't be started now held by server. */
+/** Batch items on their way from the sources to a server. An item that can't start yet is held for its server. */
 @scoped(Lifecycle.ContainerScoped)
 export class WorkQueue {
   private readonly held = new Map<string, { readonly work: BatchWork, readonly since: number }>()
@@ -28,17 +28,17 @@
     @inject(tokens.clock) private readonly clock: Clock
   ) {}
 
-  /** Whether items are held or run by the dispatcher. */
+  /** Whether any items are held or run through the dispatcher. */
   get isBusy (): boolean {
     return this.held.size > 0 || this.dispatching.size > 0
   }
 
-  /** Puts an item back to the front for its server. */
+  /** Holds an item as the next one for the server. */
   hold (server: string, work: BatchWork): void {
     this.held.set(server, { work, since: this.clock.now() })
   }
 
-  /** Gives back what is held and waits for what the dispatcher runs. */
+  /** Gives back the held items and waits for those that run through the dispatcher. */
   async drain (): Promise<void> {
     for (const { work } of this.held.values()) this.giveBack(work)
     this.held.clear()
@@ -46,9 +46,9 @@
   }
 
   /**
-   * Gives back what is held for other servers than these, which this daemon owns and which are open. Nothing starts at a
-   * server that is down; held for it, an item would be kept from all others, and its job would never end. One that is held for
-   * long has a server that online requests fill; the job's last item would wait for as long as they do.
+   * Gives back items held for servers other than `servers`, the open ones that this daemon owns, and items held for too
+   * long. Held for a server that is down or filled by online requests, an item would not run, and its job would not
+   * end.
    */
   keepOnly (servers: readonly string[]): void {
     const now = this.clock.now()
@@ -59,7 +59,7 @@
     }
   }
 
-  /** The next item that may run as a stream here; what may not goes by the dispatcher. */
+  /** Returns the next item that may run as a stream on the server; passes other items to the dispatcher. */
   take (server: string): BatchWork | undefined {
     for (let work = this.takeAny(server); work !== undefined; work = this.takeAny(server)) {
       if (work.signal.aborted) this.giveBack(work)
@@ -91,8 +91,8 @@
   }
 
   /**
-   * Whether an item must not run as a stream that may be closed: a suspect of having crashed a server, which runs
-   * alone, or a non-idempotent one, which runs to its end.
+   * Whether an item must not run as an interruptible stream: a suspect of having crashed a server runs in isolation,
+   * and a non-idempotent item runs to completion.
    */
   private needsDispatcher ({ caller, service, item, idempotent }: BatchWork): boolean {
     const fingerprint = hashRequest({ caller, service, path: item.url, body: Buffer.from(JSON.stringify({ ...item.body, stream: false })) })
