--- a/src/coordination/adaptive-limit.ts
+++ b/src/coordination/adaptive-limit.ts
@@ -1,31 +1,32 @@
 interface AdaptiveLimitOptions {
-  /** Limits below and above which it doesn't move. */
+  /** Bounds of the limit. */
   readonly lowest?: number
   readonly highest?: number
-  /** Where it starts; the highest by default. */
+  /** Initial limit, by default the highest. */
   readonly initial?: number
-  /** Factor of one decrease. */
+  /** Factor by which the limit decreases. */
   readonly decrease?: number
-  /** Least time between two decreases, ms: about what the effect of one takes to show. */
+  /** Least time between two decreases, ms; about the time until a decrease takes effect. */
   readonly pause?: number
 }
 
-/** One observation of the thing limited. */
+/** One observation of the limited resource. */
 interface Sample {
-  /** Observed time over its target; above 1 it was too slow. */
+  /** Ratio of the observed time to its target; above 1 it was too slow. */
   readonly ratio: number
-  /** What was in flight when it was observed. */
+  /** Requests in flight when it was observed. */
   readonly inFlight: number
   /** Monotonic ms. */
   readonly now: number
 }
 
 /**
- * A limit of concurrency found by additive increase and multiplicative decrease: it falls when observed times exceed
- * their target and grows by about one a round while it is in use and they don't. Several who limit the same server
- * each by their own observations converge to equal limits (Chiu and Jain).
+ * An adaptive concurrency limit with additive increase and multiplicative decrease: it falls when observed times exceed
+ * their target, and grows by about one per round while it is in use and they don't. Several clients that limit the same
+ * server, each by its own observations, converge to equal limits.
  *
- * No clock and no I/O: times come in with the samples. It has no errors; a sample that isn't finite is ignored.
+ * It has no clock and does no I/O: times come with the samples. It has no errors; samples that aren't finite are
+ * ignored.
  *
  * Source: Chiu and Jain, "Analysis of the increase and decrease algorithms for congestion avoidance", 1989.
  *
@@ -44,11 +45,12 @@
     this.limit = initial
   }
 
-  /** What may be in flight now, a whole number. */
+  /** Requests that may be in flight now, a whole number. */
   get value (): number {
     return Math.floor(this.limit)
   }
 
+  /** Adapts the limit to one sample. */
   record ({ ratio, inFlight, now }: Sample): void {
     const { lowest, highest, decrease, pause } = this.options
     if (!Number.isFinite(ratio)) return
--- a/src/coordination/advance-membership.ts
+++ b/src/coordination/advance-membership.ts
@@ -4,12 +4,15 @@
 import type { MembershipState } from './membership-state.js'
 import type { MembershipStep as Step } from './membership-step.js'
 
-/** One tick in this many also pings a dead member that the list still knows: a healed cut is noticed by it. */
+/** One tick in this many also pings a listed member that counts as dead, so that a healed partition is noticed. */
 const PING_DEAD_ONE_IN = 25
 
 const { buildStep, sendTo, listOthers, chooseSome, setRecord } = membershipOperations
 
-/** One delay of our own loop must not look like the silence of others: what they sent still waits in our sockets. */
+/**
+ * Moves all deadlines after a delay of this process's own event loop: messages that others sent meanwhile are still
+ * unread in its sockets.
+ */
 function advanceDeadlines (state: MembershipState, { now, options }: Context): MembershipState {
   const gap = now - state.tickedAt
   if (gap <= options.lateAfter) return { ...state, tickedAt: now }
@@ -18,8 +21,8 @@
 }
 
 /**
- * What a member does as time passes: judges what has gone unanswered, asks others to probe for it, probes the next
- * one, and tries now and then whether one that it holds for dead is back.
+ * Handles the passage of time: checks unanswered probes, asks other members to probe their targets, probes the next
+ * member and occasionally pings one that counts as dead.
  */
 export function advanceMembership (state: MembershipState, context: Context): Step {
   let step: Step = buildStep(checkMembers(advanceDeadlines(state, context), context))
@@ -34,7 +37,7 @@
   return step
 }
 
-/** Suspects that didn't refute in time are dead; the dead are forgotten in the end. */
+/** Marks suspects that didn't refute in time as dead, and removes members that have been dead for long. */
 function checkMembers (state: MembershipState, { now, options }: Context): MembershipState {
   const deadAfter = options.deadAfter * Math.max(1, Math.log10(state.members.size))
   let next = state
@@ -79,7 +82,7 @@
   return buildStep(next)
 }
 
-/** Probes all in turn, in a new random order each round: each is probed in every round, whatever its luck. */
+/** Probes all members in turn, in a new random order each round, so that each is probed once a round. */
 function beginProbe (state: MembershipState, context: Context): Step {
   const { now, random, options } = context
   if (now - state.probedAt < options.probeEvery) return buildStep(state)
--- a/src/coordination/build-membership-message.ts
+++ b/src/coordination/build-membership-message.ts
@@ -2,19 +2,22 @@
 import type { MembershipMessage } from './membership-message.js'
 import type { MembershipState } from './membership-state.js'
 
-/** How often a record is passed on, times the logarithm of the number of members: it then reaches all but surely. */
+/**
+ * How often a record is passed on, as a multiple of the logarithm of the number of members; it then almost surely
+ * reaches all.
+ */
 const RETRANSMIT_FACTOR = 1.5
-/** Room that a record without its data takes of a message, against one with it: some 30 bytes against 130. */
+/** Space in a message of a record without data, relative to one with data. */
 const SHORT_RECORD_SIZE = 0.25
 
 type SentRecord = MembershipMessage['u'][number]
 
-/** Turns a record into what is sent. */
+/** Returns the form in which a record is sent. */
 function copyRecord ({ name, incarnation, status, leaving, data }: MemberRecord): SentRecord {
   return status === 'alive' ? [name, incarnation, status, leaving, data] : [name, incarnation, status, leaving]
 }
 
-/** A hash of who is there and in which incarnation: equal in two members that see the same. */
+/** Returns a hash of the live members and their incarnations; equal for members with the same view. */
 function hashMembers (members: ReadonlyMap<string, MemberRecord>): number {
   let sum = 0
   for (const { name, incarnation, status } of members.values()) {
@@ -27,8 +30,8 @@
 }
 
 /**
- * Builds what goes with a message to `to`: the records told least often, and first of all what `to` should hear of
- * itself, so that a suspect learns of it from the first who probes it and can refute.
+ * Chooses the records to send with a message to `to`: those passed on least often, but first a record that marks `to`
+ * itself as suspect or dead, so that it learns of this from the first member that probes it and can refute.
  */
 function chooseRumors (state: MembershipState, to: string, limit: number): { readonly state: MembershipState, readonly u: readonly SentRecord[] } {
   const about = state.members.get(to)
@@ -45,8 +48,8 @@
 }
 
 /**
- * The first that there is room for. Suspects and dead take little: with as many records a message as of the living, the
- * loss of a failure domain, 63 of 380 at once, was known to all after half a minute.
+ * Returns the first rumors that fit into a message. Records of suspect and dead members are short; counting them as
+ * such lets the loss of a whole failure domain spread quickly.
  */
 function limitRumors (state: MembershipState, rumors: ReadonlyArray<readonly [string, number]>, limit: number): ReadonlyArray<readonly [string, number]> {
   let room = limit
@@ -59,5 +62,5 @@
   return taken
 }
 
-/** The parts that messages are built from. */
+/** Functions that build messages. */
 export const membershipMessages = { copyRecord, hashMembers, chooseRumors }
--- a/src/coordination/claim-options.ts
+++ b/src/coordination/claim-options.ts
@@ -1,13 +1,13 @@
-/** Times in ms. */
+/** Options of a claim. Times in ms. */
 export interface ClaimOptions {
-  /** The candidate: unique to one run of one process. */
+  /** Name of the candidate, unique to one run of one process. */
   readonly self: string
-  /** How long after it was sent a successful write proves the claim. */
+  /** How long a successful write proves the claim, from when it was sent. */
   readonly authority?: number
-  /** Longest time from deciding on an action to its effect. */
+  /** Longest time from the decision on an action to its effect. */
   readonly longestAction?: number
   /** Pause after a failed call. */
   readonly retryPause?: number
-  /** How often a held claim is read again, so that one lost unnoticed is given up. */
+  /** How often a held claim is read again, to detect that it was lost. */
   readonly checkPeriod?: number
 }
--- a/src/coordination/claim-state.ts
+++ b/src/coordination/claim-state.ts
@@ -1,6 +1,6 @@
 /**
- * One candidate's view of one claim. `attempt` numbers the calls to the store, so that a reply that comes late is
- * told from the one that is waited for. Times are monotonic ms of the candidate's own clock.
+ * One candidate's view of one claim. `attempt` numbers the calls to the store, so that late replies to earlier calls
+ * are recognised. Times are monotonic ms of the candidate's own clock.
  */
 export type ClaimState =
   | { readonly type: 'idle', readonly attempt: number }
@@ -10,14 +10,14 @@
   | {
     readonly type: 'held'
     readonly attempt: number
-    /** Version of the claim's object: the fencing number. */
+    /** Version of the claim's object, which is the fencing number. */
     readonly version: number
     /** When the write that last proved the claim was sent. */
     readonly confirmedAt: number
-    /** When this candidate learned that it had taken the claim. */
+    /** When this candidate learned that it had claimed it. */
     readonly takenAt: number
-    /** When a confirming write was sent whose reply is awaited. */
+    /** When a confirming write was sent that hasn't been answered yet. */
     readonly confirming?: number
-    /** When to read again whether the claim is still ours. */
+    /** When to read the claim again, to check that it is still held. */
     readonly checkAt: number
   }
--- a/src/coordination/create-membership.ts
+++ b/src/coordination/create-membership.ts
@@ -1,7 +1,10 @@
 import type { MemberRecord } from './member-record.js'
 import type { MembershipState } from './membership-state.js'
 
-/** The state of a member that starts, which knows only itself. `incarnation` is above that of all its earlier runs. */
+/**
+ * Creates the state of a member that starts and knows only itself. `incarnation` must be higher than in all of its
+ * earlier runs.
+ */
 export function createMembership ({ name, incarnation, data, now }: {
   readonly name: string
   readonly incarnation: number
--- a/src/coordination/group-commit.ts
+++ b/src/coordination/group-commit.ts
@@ -1,6 +1,6 @@
 import { Ok, type Result } from 'ts-results'
 
-/** What a group commit needs of a clock: monotonic ms, and a timer that can be cancelled. */
+/** The clock of a group commit: monotonic ms, and a timer that can be cancelled. */
 interface CommitClock {
   now (): number
   after (delay: number, task: () => void): () => void
@@ -8,17 +8,17 @@
 
 /** Options of a group commit. Times in ms; sizes in the unit of `measure`. */
 interface GroupCommitOptions<T, E> {
-  /** Writes a batch as one. An `Ok` means that all of it is durable. */
+  /** Writes a batch in one operation. `Ok` means that all of it is durable. */
   readonly write: (batch: readonly T[]) => Promise<Result<void, E>>
-  /** Whether trying again is of no use; every other error is tried again for as long as it takes. */
+  /** Whether retrying is useless; writes with any other error are retried until they succeed. */
   readonly isFinal: (error: E) => boolean
   readonly clock: CommitClock
   readonly measure?: (entry: T) => number
   readonly maxEntries?: number
   readonly maxSize?: number
-  /** Longest wait of an entry for others to join it. */
+  /** Longest time that an entry waits for others to join its batch. */
   readonly maxWait?: number
-  /** Pause after the first failed write; it doubles with each further one up to `maxPause`. */
+  /** Pause after the first failed write; doubles with each further failure up to `maxPause`. */
   readonly pause?: number
   readonly maxPause?: number
 }
@@ -26,12 +26,13 @@
 interface Waiting<T, E> { readonly entry: T, readonly size: number, readonly since: number, readonly resolve: (result: Result<void, E>) => void }
 
 /**
- * Writes many entries as one. Entries are written in the order in which they were added, one write at a time, and
- * what is added during a write goes with the next one. `add` resolves once its entry is durable, or with the error
- * that made trying again useless. A write that fails otherwise is repeated with a growing pause, so `write` must be
- * idempotent: after a lost reply it gets the same entries once more.
+ * Writes many entries in one operation. Entries are written in the order in which they were added, one batch at a time;
+ * entries added during a write go into the next one. `add` resolves when its entry is durable, or with an error that
+ * makes retrying useless. Other failed writes are repeated after a growing pause. `write` must therefore be idempotent:
+ * after a lost reply it receives the same entries again.
+ *
+ * Errors: only those that `isFinal` accepts reach the callers of `add`; others show as a growing `waiting`.
  *
- * Errors: only those that `isFinal` names reach the callers of `add`; the others show as `waiting` growing.
  * Source: DeWitt et al., "Implementation techniques for main memory database systems", 1984.
  *
  * @example
@@ -51,11 +52,12 @@
     this.options = { measure: () => 1, maxEntries: 100, maxSize: Infinity, maxWait: 1_000, pause: 100, maxPause: 5_000, ...options }
   }
 
-  /** Entries that aren't known to be durable, and their size. */
+  /** Entries not yet known to be durable, and their total size. */
   get waiting (): { readonly entries: readonly T[], readonly size: number } {
     return { entries: this.entries.map(({ entry }) => entry), size: this.entries.reduce((sum, { size }) => sum + size, 0) }
   }
 
+  /** Adds an entry; resolves with `Ok` when it is durable, or with a final error. */
   async add (entry: T): Promise<Result<void, E>> {
     return await new Promise(resolve => {
       this.entries.push({ entry, size: this.options.measure(entry), since: this.options.clock.now(), resolve })
@@ -63,7 +65,7 @@
     })
   }
 
-  /** Writes what is waiting now without waiting for more to join it. */
+  /** Writes the waiting entries without waiting for more. */
   flush (): void {
     this.urgent = this.entries.length
     this.step()
--- a/src/coordination/is-claim-proven.ts
+++ b/src/coordination/is-claim-proven.ts
@@ -3,8 +3,8 @@
 import type { ClaimState } from './claim-state.js'
 
 /**
- * Whether a fresh write proves the claim, so that an action may begin now where its target checks the fencing
- * number. Check it in the same turn in which the action is sent.
+ * Whether a recent write proves the claim, so that an action may start now if its target checks the fencing number.
+ * Check it in the same turn in which the action is sent.
  *
  * @example
  * if (isClaimProven(state, clock.now(), { self })) send({ fencing: state.version })
--- a/src/coordination/is-claim-settled.ts
+++ b/src/coordination/is-claim-settled.ts
@@ -2,13 +2,13 @@
 import type { ClaimOptions } from './claim-options.js'
 import type { ClaimState } from './claim-state.js'
 
-/** Clocks of two processes may run apart by this share. */
+/** Largest relative difference between the clock rates of two processes. */
 const MAX_CLOCK_DRIFT = 0.1
 
 /**
- * Whether every earlier holder's actions have had their effect or never will, so that an action may begin even
- * where its target ignores fencing numbers. An earlier holder's last proof was sent before ours was written; it
- * begins nothing `authority` ms after that, and what it began takes effect within `longestAction` ms.
+ * Whether the actions of all earlier holders have taken effect or never will, so that an action may start even if its
+ * target ignores fencing numbers. An earlier holder's last proof was sent before this one's claim was written; it
+ * starts no action `authority` ms after that, and actions take effect within `longestAction` ms.
  *
  * @example
  * if (isClaimProven(state, now, options) && (checksFencing || isClaimSettled(state, now, options))) send(order)
--- a/src/coordination/is-newer-record.ts
+++ b/src/coordination/is-newer-record.ts
@@ -5,8 +5,8 @@
 type RecordVersion = Pick<MemberRecord, 'incarnation' | 'status'>
 
 /**
- * Whether `next` supersedes `known`: a higher incarnation does, and within one incarnation the graver status. So only
- * the member itself, by a new incarnation, takes back a suspicion or a death, whatever order the news come in.
+ * Whether `next` supersedes `known`: the higher incarnation does, and within one incarnation the graver status. So only
+ * the member itself can withdraw a suspicion or a death, by a new incarnation, in whatever order records arrive.
  */
 export function isNewerRecord (next: RecordVersion, known: RecordVersion | undefined): boolean {
   if (known === undefined) return next.status !== 'suspect'
--- a/src/coordination/lease-options.ts
+++ b/src/coordination/lease-options.ts
@@ -1,7 +1,7 @@
 import type { Clock } from '../kernel/clock.js'
 import type { ObjectStore } from '../store/object-store.js'
 
-/** What a lease is built from. */
+/** Options of a lease. */
 export interface LeaseOptions {
   /** A store whose `put` is conditional on the version. */
   readonly store: Pick<ObjectStore, 'get' | 'put'>
@@ -12,6 +12,6 @@
   readonly name: string
   /** Unique to one run of one process: a restarted process is another holder. */
   readonly holder: string
-  /** How long it lasts, in ms from the moment the write that got or renewed it was sent. */
+  /** How long the lease lasts, in ms from when the write that took or renewed it was sent. */
   readonly duration?: number
 }
--- a/src/coordination/lease-value.ts
+++ b/src/coordination/lease-value.ts
@@ -1,4 +1,4 @@
-/** What a lease stores in its object. `duration` in ms; 0 once it has been released. */
+/** The stored value of a lease. `duration` in ms; 0 after a release. */
 export interface LeaseValue {
   readonly holder: string
   readonly duration: number
--- a/src/coordination/lease.ts
+++ b/src/coordination/lease.ts
@@ -5,22 +5,22 @@
 import type { LeaseOptions } from './lease-options.js'
 import type { LeaseValue } from './lease-value.js'
 
-/** Ten seconds: three renewals may fail before it lapses, at a renewal every 2.5 s. */
+/** Allows for three failed renewals, at one every 2.5 s. */
 const DEFAULT_DURATION = 10_000
-/** Share of the duration that a contender waits beyond it, for clocks that run at different rates. */
+/** Share of the duration that a contender waits in addition, for clocks that run at different rates. */
 const RATE_SLACK = 0.1
 
 interface Held { readonly version: number, readonly fencing: number, readonly until: number }
 
 /**
- * A lease with a fencing number on a store with conditional updates. At most one holder finds `check` true at a
- * time, as long as clocks run at rates within 10 % of one another; wall clocks need not agree. The fencing number is
- * the version of the write that took the lease: it grows with every holder, so that whatever checks it refuses the
- * orders of an earlier one.
+ * A lease with a fencing number, on a store with conditional updates. At most one holder has `check` return true at a
+ * time, if clock rates differ by at most 10 %; wall clocks need not agree. The fencing number is the version of the
+ * write that took the lease. It grows with every holder, so that a target that checks it refuses the orders of earlier
+ * holders.
  *
- * Safeguard: a holder that is paused past its lease goes on when it thaws, and two would act. Its own `check`
- * compares the clock with the time at which the last renewal was *sent*, without I/O, so it is false from the first
- * instruction after the pause; a contender, in turn, counts from when it *saw* the version, which is later.
+ * A holder that is paused past its lease must not act when it resumes. `check` therefore compares the clock with the
+ * time at which the last renewal was sent, without I/O, and is false from the first instruction after the pause. A
+ * contender counts from when it first read the version, which is later.
  *
  * Source: Gray and Cheriton, "Leases", 1989; the fencing number after Burrows' "sequencer" in "Chubby", 2006.
  *
@@ -31,25 +31,25 @@
  */
 export class Lease {
   private held: Held | undefined
-  /** The version of another holder, and since when this one has seen it. */
+  /** The version of another holder's lease, and since when this one has seen it. */
   private seen = { version: -1, since: 0 }
 
   constructor (private readonly options: LeaseOptions) {}
 
-  /** Whether it is held now, by this process's clock alone. */
+  /** Whether the lease is held now, by this process's clock alone. */
   check (): boolean {
     return this.held !== undefined && this.options.clock.now() < this.held.until
   }
 
-  /** The fencing number while it is held. */
+  /** The fencing number, undefined while the lease isn't held. */
   get fencing (): number | undefined {
     return this.check() ? this.held!.fencing : undefined
   }
 
   /**
-   * Takes the lease if it is free, released, lapsed or this holder's own, and gives back its fencing number. Errors:
-   * `held` while another has it, `store`. A write whose reply was lost leaves an object of ours, which the next
-   * `take` takes over under a new fencing number.
+   * Takes the lease if it is free, released, expired or this holder's own, and returns its fencing number. Errors:
+   * `held` while another holder has it, `store`, `lost` if another holder wrote first. A write whose reply was lost
+   * leaves this holder's value, and the next `take` takes it over under a new fencing number.
    */
   async take (): Promise<Result<number, LeaseError>> {
     if (this.check()) return Ok(this.held!.fencing)
@@ -62,7 +62,7 @@
     return await this.write(present?.version ?? 0)
   }
 
-  /** Prolongs it under the same fencing number. Errors: `lost` (also when it lapsed before the call), `store`. */
+  /** Renews the lease under the same fencing number. Errors: `lost` (also if it had already expired), `store`. */
   async renew (): Promise<Result<number, LeaseError>> {
     if (!this.check()) {
       this.held = undefined
@@ -71,7 +71,7 @@
     return await this.write(this.held!.version, this.held!.fencing)
   }
 
-  /** Gives it up, so that another can take it at once. A write that fails leaves it to lapse. */
+  /** Releases the lease, so that another holder can take it at once. If the write fails, the lease expires. */
   async release (): Promise<void> {
     const held = this.held
     this.held = undefined
@@ -86,7 +86,7 @@
     return this.options.duration ?? DEFAULT_DURATION
   }
 
-  /** How long until the present holder's lease has lapsed for certain, in ms. */
+  /** Returns the time until the present holder's lease has certainly expired, in ms. */
   private estimateWait ({ version, value }: StoredObject<LeaseValue>): number {
     if (value.holder === this.options.holder || value.duration === 0) return 0
     const now = this.options.clock.now()
--- a/src/coordination/may-start.ts
+++ b/src/coordination/may-start.ts
@@ -1,17 +1,18 @@
 import type { LastRead } from './last-read.js'
 
 interface StartLimits {
-  /** Oldest look in ms while the platform answers. */
+  /** Longest age of the last read in ms while the store answers. */
   readonly fresh?: number
-  /** Longest time in ms for which work starts without a look succeeding. */
+  /** Longest age of the last read in ms while the store doesn't answer. */
   readonly unchecked?: number
 }
 
 /**
- * Whether work may start now by the last look at whether it still goes on. Without this a holder that was paused, cut off, or missed the
- * message goes on with work whose end was acknowledged elsewhere. While the platform answers, a look is at most
- * `fresh` old; while it doesn't, what is held goes on for `unchecked`, so an outage costs no throughput at first and a holder in a
- * partition still stops. After a pause nothing starts before a new look.
+ * Whether work may start now, by the last read that checked that it is still to be done. This stops a holder that was
+ * paused, cut off or missed a message from continuing work whose cancellation was acknowledged elsewhere. While the
+ * store answers, the read must be at most `fresh` old; while it doesn't, work may go on for `unchecked`, so that an
+ * outage costs no throughput at first and a partitioned holder still stops. After a pause nothing starts before a new
+ * read.
  *
  * @example
  * mayStart({ seen: 1_000, unreachable: false }, 5_000) // true: 4 s old
--- a/src/coordination/membership-context.ts
+++ b/src/coordination/membership-context.ts
@@ -1,7 +1,7 @@
 import type { Random } from '../kernel/random.js'
 import type { MembershipOptions } from './membership-options.js'
 
-/** What a step is taken with; `now` in monotonic ms. */
+/** Inputs of a step; `now` in monotonic ms. */
 export interface MembershipContext {
   readonly now: number
   readonly random: Random
--- a/src/coordination/membership-defaults.ts
+++ b/src/coordination/membership-defaults.ts
@@ -1,6 +1,6 @@
 import type { MembershipOptions } from './membership-options.js'
 
-/** The defaults of `MembershipOptions`, in ms. */
+/** Defaults of `MembershipOptions`; times in ms. */
 export const membershipDefaults: Required<MembershipOptions> = {
   probeEvery: 500,
   answerWithin: 400,
--- a/src/coordination/membership-operations.ts
+++ b/src/coordination/membership-operations.ts
@@ -28,5 +28,5 @@
   return { ...state, members: new Map(state.members).set(record.name, record), rumors: new Map(state.rumors).set(record.name, 0) }
 }
 
-/** The small steps that the larger ones are made of. */
+/** Basic operations on the membership state. */
 export const membershipOperations = { buildStep, sendTo, listOthers, chooseSome, setRecord }
--- a/src/coordination/membership-options.ts
+++ b/src/coordination/membership-options.ts
@@ -1,21 +1,24 @@
-/** Times in ms. Defaults keep a member under 1 KB a second each way at 380 members. */
+/**
+ * Options of membership. Times in ms. With the defaults, each of 380 members sends and receives less than 1 KB per
+ * second.
+ */
 export interface MembershipOptions {
-  /** Time between two probes, each of another member. */
+  /** Time between two probes, each to another member. */
   readonly probeEvery?: number
-  /** How long the probed member has to answer before others are asked to probe it. */
+  /** How long a probed member may take to answer before others are asked to probe it. */
   readonly answerWithin?: number
-  /** How long after the start of its probe a member that nobody got an answer from becomes suspect. */
+  /** How long after the start of its probe a member becomes suspect if no answer has arrived. */
   readonly suspectAfter?: number
-  /** How long a suspect has to refute, for ten members; it grows with the logarithm of their number. */
+  /** How long a suspect may take to refute, for ten members; it grows with the logarithm of their number. */
   readonly deadAfter?: number
-  /** How long a dead member is remembered, so that old news doesn't bring it back. */
+  /** How long a dead member is remembered, so that old records don't bring it back. */
   readonly forgetAfter?: number
-  /** Members asked to probe another one. */
+  /** Number of members asked to probe another one. */
   readonly helpers?: number
-  /** Records carried by one message. */
+  /** Most records in one message. */
   readonly rumorsPerMessage?: number
-  /** Least time between two whole states sent because another's view differs. */
+  /** Least time between two full states sent because views differ. */
   readonly syncEvery?: number
-  /** A gap between two ticks above this is our own delay, not silence of the others. */
+  /** A gap between two ticks above this is a delay of this process, not of the other members. */
   readonly lateAfter?: number
 }
--- a/src/coordination/membership-state.ts
+++ b/src/coordination/membership-state.ts
@@ -4,11 +4,11 @@
 
 interface Relay { readonly n: number, readonly to: string, readonly toN: number, readonly at: number }
 
-/** One member's view of all, itself among them. Changed only by `stepMembership`. */
+/** One member's view of all members, including itself. Changed only by `stepMembership`. */
 export interface MembershipState {
   readonly self: string
   readonly members: ReadonlyMap<string, MemberRecord>
-  /** Records still to be passed on, and how often they have been. */
+  /** Names of records still to be passed on, and how often each has been. */
   readonly rumors: ReadonlyMap<string, number>
   readonly listed: ReadonlySet<string>
   readonly probes: readonly Probe[]
@@ -19,6 +19,6 @@
   readonly tickedAt: number
   readonly probedAt: number
   readonly syncedAt: number
-  /** Whether it has heard another's view since it started or was paused, or knows of nobody to hear. */
+  /** Whether it has received another member's view since it started or was paused, or knows no other member. */
   readonly settled: boolean
 }
--- a/src/coordination/membership-step.ts
+++ b/src/coordination/membership-step.ts
@@ -1,7 +1,7 @@
 import type { MembershipEffect } from './membership-effect.js'
 import type { MembershipState } from './membership-state.js'
 
-/** What comes of one event. */
+/** Result of one event. */
 export interface MembershipStep {
   readonly state: MembershipState
   readonly effects: readonly MembershipEffect[]
--- a/src/coordination/membership.ts
+++ b/src/coordination/membership.ts
@@ -19,14 +19,14 @@
 const JOIN_FANOUT = 3
 
 /**
- * Membership by random probes (SWIM): what a member sends and does doesn't grow with their number. Given the state,
- * an event, monotonic `now` in ms and a source of randomness, gives the next state and the messages to send; any of
- * those may be lost. It does no I/O and throws nothing.
+ * Returns the next state of a member and the messages to send, any of which may be lost. Membership by random probes
+ * (SWIM): the load of a member doesn't grow with their number. `now` is in monotonic ms. Does no I/O and throws
+ * nothing.
  *
- * A live member that can be reached is never dead for long: it hears of the suspicion from the first who probes it
- * and refutes it by a new incarnation. A dead one is dropped by all, and comes back only in a new incarnation.
+ * A live, reachable member doesn't stay dead: it learns of a suspicion from the first member that probes it and refutes
+ * it by a new incarnation. A dead member is dropped by all, and returns only in a new incarnation.
  *
- * Source: Das, Gupta and Motivala, "SWIM", 2002; the delay of one's own loop after Dadgar et al., "Lifeguard", 2017.
+ * Source: Das, Gupta and Motivala, "SWIM", 2002; handling of local delays after Dadgar et al., "Lifeguard", 2017.
  *
  * @example
  * let state = createMembership({ name: 'entry-0', incarnation: Date.now(), data: { host: '10.0.0.1' }, now: clock.now() })
@@ -65,8 +65,8 @@
 }
 
 /**
- * Tells every other member at once: news of oneself are rare, and at 380 members they are 380 small messages. The
- * answers carry the new `sequence`, so that the caller can wait until all know.
+ * Sends the member's own record to all others at once, as its changes are rare. The answers carry the new `sequence`,
+ * so that the caller can wait until all have it.
  */
 function sendToAll (state: MembershipState, context: Context): Step {
   const self = state.members.get(state.self)!
@@ -86,7 +86,10 @@
   return { state: { ...next, settled: state.settled && state.members.size > 1 }, effects: asked.map(to => sendState(next, to, true)) }
 }
 
-/** What it believed of the others may have lapsed: they are known by name only, until they are heard again. */
+/**
+ * Drops the view of the other members after a pause, as it may be outdated: they are known by name only until they
+ * answer.
+ */
 function dropView (state: MembershipState, incarnation: number, context: Context): Step {
   const { now, random } = context
   const members = new Map([...state.members].map(([name, record]) => {
@@ -98,7 +101,10 @@
   return { state: next, effects: chooseSome(listOthers(next, ['alive']), JOIN_FANOUT, random).map(to => sendState(next, to, true)) }
 }
 
-/** Whoever has started anew meanwhile has another incarnation, of which the end says nothing. */
+/**
+ * Marks a member as dead whose process has ended. A member that has restarted meanwhile has another incarnation and is
+ * kept.
+ */
 function dropEnded (state: MembershipState, { name, incarnation }: Extract<MembershipEvent, { type: 'ended' }>, { now }: Context): MembershipState {
   const record = state.members.get(name)
   if (name === state.self || record === undefined || record.status === 'dead' || record.incarnation !== incarnation) return state
@@ -120,7 +126,10 @@
   }
 }
 
-/** Asks one whose incarnation it doesn't know, and sends its whole view, now and then, to one that sees another one. */
+/**
+ * Requests the record of a member whose incarnation isn't known, and sends the full state, at most every `syncEvery`,
+ * to one whose view differs.
+ */
 function addSync (step: Step, from: string, { i, h }: { readonly i: number, readonly h: number }, { now, options }: Context): Step {
   const unknown = (step.state.members.get(from)?.incarnation ?? 0) < i
   if (unknown) return { state: step.state, effects: [...step.effects, { to: from, message: { type: 'who', u: [] } }] }
--- a/src/coordination/merge-records.ts
+++ b/src/coordination/merge-records.ts
@@ -4,8 +4,8 @@
 import type { MembershipState } from './membership-state.js'
 
 /**
- * Takes in records from another member. What is newer is kept and passed on; what says that this member is suspect or
- * dead is refuted by a higher incarnation of its own.
+ * Merges records of another member. Newer records are kept and passed on; a record that marks this member as suspect or
+ * dead is refuted by a higher incarnation.
  */
 export function mergeRecords (state: MembershipState, sent: MembershipMessage['u'], now: number): MembershipState {
   let members: Map<string, MemberRecord> | undefined
--- a/src/coordination/rank-owners.ts
+++ b/src/coordination/rank-owners.ts
@@ -1,9 +1,9 @@
 import { createHash } from 'node:crypto'
 
 /**
- * Rendezvous (highest random weight) hashing: `candidates` in the order in which they should own `thing`. All who
- * know the same candidates agree without a word; when one goes, only what it owned moves. It says who should act,
- * never who may: pair it with a conditional update.
+ * Returns `candidates` in the order in which they should own `thing`, by rendezvous (highest random weight) hashing.
+ * All who have the same candidates agree without communication; when one leaves, only what it owned moves. The result
+ * is a preference, not an exclusive right: combine it with a conditional update.
  *
  * Source: Thaler and Ravishankar, "Using name-based mappings to increase hit rates", 1998.
  *
--- a/src/coordination/retry-budget.ts
+++ b/src/coordination/retry-budget.ts
@@ -1,18 +1,19 @@
 interface RetryBudgetOptions {
   /** Retries earned by each success. */
   readonly share?: number
-  /** Retries that may be saved up, which is also what a new budget holds at most. */
+  /** Most retries that a budget holds, also initially. */
   readonly capacity?: number
   /** Retries that a new budget holds. */
   readonly initial?: number
 }
 
 /**
- * Bounds retries to a share of recent successes. When most requests fail, retries multiply the load on what is left
- * and keep it from recovering; its symptom is a fleet that stays down after the cause has gone. With a budget, sends
- * are at most `requests + share × successes + initial`, whatever fails.
+ * Limits retries to a share of recent successes. When most requests fail, retries multiply the load on the remaining
+ * capacity and keep it from recovering after the cause has gone. With a budget, sends are at most `requests + share ×
+ * successes + initial`, regardless of failures.
  *
- * No clock and no I/O; one budget for each pool of servers. Never fails: `take` says whether a retry may be made.
+ * It has no clock and does no I/O. Use one budget for each pool of servers. It has no errors: `take` returns whether a
+ * retry may be made.
  *
  * Source: the retry budgets of Finagle (Twitter) and gRPC's retry throttling (proposal A6).
  *
@@ -32,12 +33,12 @@
     this.held = Math.min(initial, capacity)
   }
 
-  /** Earns the share of one success. */
+  /** Adds the share of one success. */
   record (): void {
     this.held = Math.min(this.capacity, this.held + this.share)
   }
 
-  /** Takes one retry if there is one left. */
+  /** Takes one retry; returns false if none is left. */
   take (): boolean {
     if (this.held < 1) return false
     this.held--
--- a/src/coordination/step-claim.ts
+++ b/src/coordination/step-claim.ts
@@ -7,13 +7,13 @@
 interface Step { readonly state: ClaimState, readonly effects: readonly ClaimEffect[] }
 
 /**
- * The next state of a claim on one thing, kept in one object of a store with conditional updates, and the calls to
- * make. A claim costs one write when it moves and none while it is held; before an action that needs a proof the
- * holder sends `confirm`, which writes once more. Its version is a fencing number: it only grows, and two holders
- * never have the same. `isClaimProven` and `isClaimSettled` tell what the state allows.
+ * Returns the next state of a claim, kept in one object of a store with conditional updates, and the calls to make to
+ * the store. A claim costs one write when its holder changes and none while it is held; before an action that needs a
+ * proof, the holder sends `confirm`, which costs another write. The object's version is the fencing number: it only
+ * grows, and two holders never have the same. `isClaimProven` and `isClaimSettled` return what the state permits.
  *
- * Guarantees nothing about who should hold it; choose by `rankOwners` or otherwise. Errors of the store arrive as
- * `failed` events and are tried again after `retryPause` ms, as long as the claim is wanted.
+ * It doesn't decide who should hold the claim; use `rankOwners` for example. Errors of the store arrive as `failed`
+ * events, and the call is repeated after `retryPause` ms as long as the claim is wanted.
  *
  * Source: fencing tokens after Burrows, "The Chubby lock service", 2006; leases after Gray and Cheriton, 1989.
  *
@@ -51,8 +51,8 @@
 }
 
 /**
- * A claim taken anew counts as taken now, even over our own name: after a lost reply or a pause we can't tell
- * whether another held it between, and its last action may still be on the way.
+ * A new claim starts now even if the holder's name is the same: after a lost reply or a pause, another candidate may
+ * have held it in between, and its last action may still be on the way.
  */
 function handleWritten (state: ClaimState, { attempt, version }: ClaimEvent & { type: 'written' }, now: number, options: ClaimOptions): Step {
   if (attempt !== state.attempt) return keep(state)
@@ -65,7 +65,7 @@
 function handleFailed (state: ClaimState, { attempt }: ClaimEvent & { type: 'failed' }, now: number, options: ClaimOptions): Step {
   if (attempt !== state.attempt || state.type === 'idle') return keep(state)
   const until = now + (options.retryPause ?? claimDefaults.retryPause)
-  // A check that the store didn't answer proves nothing either way; a confirming write that failed may have lost.
+  // A check without an answer proves nothing; a confirming write that failed may have lost the claim.
   if (state.type === 'held' && state.confirming === undefined) return keep({ ...state, checkAt: until })
   return keep({ type: 'waiting', attempt, until })
 }
--- a/src/coordination/step-version.ts
+++ b/src/coordination/step-version.ts
@@ -4,18 +4,21 @@
 import type { VersionMessage } from './version-message.js'
 import type { VersionState } from './version-state.js'
 
-/** How parts are told apart and measured, and the waits of the exchange. Times in ms, sizes in bytes. */
+/** How parts are identified and measured, and the timing of the exchange. Times in ms, sizes in bytes. */
 interface VersionOptions<Part> {
-  /** Content hash of a part. A part whose hash isn't the one asked for is dropped. */
+  /** Content hash of a part. A part without a requested hash is dropped. */
   readonly hash: (part: Part) => string
   readonly size: (part: Part) => number
-  /** After this long without an answer it is asked again, by turns of the same and of somebody else. */
+  /** Time without an answer after which a request is repeated, alternately to the same holder and another. */
   readonly askTimeout?: number
-  /** How often the drawn peers are told our version. Ticks may come more often, and then ask again sooner. */
+  /**
+   * How often the version is sent to the sampled peers. Ticks may be more frequent, so that requests are repeated
+   * sooner.
+   */
   readonly digestPeriod?: number
   /** Most bytes of parts in one message; at least one part is sent. */
   readonly messageBytes?: number
-  /** A holder that reads a head in the store fetches up to this many missing parts there, more from its peers. */
+  /** A holder that reads a head from the store fetches up to this many missing parts there, and more from its peers. */
   readonly storeParts?: number
 }
 
@@ -30,15 +33,15 @@
 const MAX_ASKED_PARTS = 200
 
 /**
- * Spreads a versioned configuration: a head, swapped by conditional update in a store, and content-addressed parts.
- * Guarantees that the version acted on never goes down, whatever order, repetition or age of messages and reads, and
- * that a version is acted on only when all its parts are there with their right hashes. While ticks go on and some
- * holder that knows the highest version can be reached, each other holder reaches it; a lost message costs a tick.
+ * Distributes a versioned configuration: a head, swapped in a store by conditional update, and content-addressed parts.
+ * The version acted on never decreases, whatever the order, repetition or age of messages and reads, and a version is
+ * acted on only when all its parts are present with the right hashes. While ticks continue and some holder of the
+ * highest version can be reached, every other holder reaches that version; a lost message costs one tick.
  *
- * Errors: none; what can't be used is dropped, and asked for again at a later tick. `now` is monotonic ms.
+ * It has no errors: unusable input is dropped, and requested again at a later tick. `now` is monotonic ms.
  *
- * Source: rumour mongering with anti-entropy, Demers et al., "Epidemic algorithms for replicated database
- * maintenance", 1987.
+ * Source: rumour mongering with anti-entropy, Demers et al., "Epidemic algorithms for replicated database maintenance",
+ * 1987.
  *
  * @example
  * let state = createVersionState<string>()
@@ -70,7 +73,10 @@
   return { state, effects: [] }
 }
 
-/** A peer that is behind gets our version in return, so that a paused holder catches up at its first word. */
+/**
+ * Handles a peer's version. A peer with an older one gets this holder's in return, so that one that was paused catches
+ * up by its first message.
+ */
 function handleDigest<Part> (state: VersionState<Part>, from: string, version: number, now: number, { askTimeout }: Options<Part>): Step<Part> {
   const own = state.head?.version ?? 0
   if (version < own) return { state, effects: [{ type: 'send', to: from, message: { type: 'digest', version: own } }] }
@@ -79,7 +85,7 @@
   return { state: { ...state, asked: { version, from, at: now } }, effects: [{ type: 'send', to: from, message: { type: 'ask head' } }] }
 }
 
-/** An old read of the store or a late message has a lower version than one known, and ends here. */
+/** Handles a head. A version that isn't higher than the known one, from an old read or a late message, is ignored. */
 function handleHead<Part> (state: VersionState<Part>, head: VersionHead, { from, parts = [] }: { readonly from?: string, readonly parts?: readonly Part[] }, now: number, options: Options<Part>): Step<Part> {
   if (head.version <= (state.target?.version ?? state.head?.version ?? 0)) return createStep(state)
   const known = new Map([...parts.map(part => [options.hash(part), part] as const), ...state.parts])
@@ -99,7 +105,7 @@
   return left.length === 0 ? applyTarget(next) : { state: next, effects: [askForParts(left, from)] }
 }
 
-/** Tells the drawn peers our version, and asks again for what didn't come. */
+/** Sends the version to the sampled peers and repeats unanswered requests. */
 function handleTick<Part> (state: VersionState<Part>, now: number, { askTimeout, digestPeriod }: Options<Part>): Step<Part> {
   const isDigestDue = now - state.digestSentAt >= digestPeriod
   const version = state.head?.version ?? 0
@@ -109,7 +115,7 @@
   return { state: again.state, effects: [...digests, ...again.effects] }
 }
 
-/** A question or its answer was lost: the version heard of is still not known. */
+/** Repeats a lost request for the head, or one whose answer was lost. */
 function askHeadAgain<Part> (state: VersionState<Part>, now: number, askTimeout: number): Step<Part> {
   const { version, from, at } = state.asked
   if (version <= (state.head?.version ?? 0) || from === undefined || now - at < askTimeout) return createStep(state)
@@ -143,7 +149,7 @@
   return peer === undefined ? { type: 'read parts', hashes } : { type: 'send', to: peer, message: { type: 'ask parts', hashes } }
 }
 
-/** The parts asked for that we have, as many as fit in one message; the asker asks again for the rest. */
+/** Returns the requested parts that are present, as many as fit into one message; the peer requests the rest again. */
 function chooseParts<Part> (state: VersionState<Part>, hashes: readonly string[], { size, messageBytes }: Options<Part>): readonly Part[] {
   const chosen: Part[] = []
   let bytes = 0
--- a/src/coordination/version-effect.ts
+++ b/src/coordination/version-effect.ts
@@ -2,8 +2,8 @@
 import type { VersionMessage } from './version-message.js'
 
 /**
- * What a holder must do next: send a message, tell a few random holders (`spread`), read parts from the store, or
- * act on a version that is now whole.
+ * An action for a holder: send a message, send it to a few random holders (`spread`), read parts from the store, or act
+ * on a version whose parts are all present.
  */
 export type VersionEffect<Part> =
   | { readonly type: 'send', readonly to: string, readonly message: VersionMessage<Part> }
--- a/src/coordination/version-head.ts
+++ b/src/coordination/version-head.ts
@@ -1,6 +1,6 @@
 /**
- * What the store keeps under one name: the version that the store gave it, the hashes of the parts that make up the
- * value, and whatever else the writer wants to travel with it.
+ * The stored head of a configuration: the version assigned by the store, the hashes of the parts that make up the
+ * value, and any further data of the writer.
  */
 export interface VersionHead {
   readonly version: number
--- a/src/coordination/version-message.ts
+++ b/src/coordination/version-message.ts
@@ -1,6 +1,6 @@
 import type { VersionHead } from './version-head.js'
 
-/** What holders of a versioned configuration tell one another. Any of these may be lost, repeated or late. */
+/** A message between holders of a versioned configuration. It may be lost, repeated or late. */
 export type VersionMessage<Part> =
   | { readonly type: 'digest', readonly version: number }
   | { readonly type: 'ask head' }
--- a/src/coordination/version-outcome.ts
+++ b/src/coordination/version-outcome.ts
@@ -1,8 +1,8 @@
 /**
- * What became of a swap.
- * - `accepted`: it took effect, and had this version.
- * - `refused`: another version had been accepted first; ours has not taken effect and never will.
- * - `not sent`: nothing was written, and never will be; it may be tried again after `retryAfter` ms.
+ * Outcome of a swap.
+ * - `accepted`: it took effect as this version.
+ * - `refused`: another version was accepted first; this one has not taken effect and never will.
+ * - `not sent`: nothing was written and never will be; it may be retried after `retryAfter` ms.
  * - `unknown`: it may have taken effect, or may still do so as long as the version is `basedOn`.
  */
 export type VersionOutcome<T> =
--- a/src/coordination/write-version.ts
+++ b/src/coordination/write-version.ts
@@ -1,26 +1,28 @@
 import type { VersionOutcome } from './version-outcome.js'
 import type { VersionStore } from './version-store.js'
 
-/** A swap: the value, the version it was made from, and how to find it again in a later value. */
+/** A swap: the new value, the version on which it is based, and how to find the swap in a later value. */
 interface Swap<T> {
   readonly value: T
   readonly basedOn: number
   /**
-   * Looks for this swap in the value that is there now: the version at which it was accepted, `absent` if it never
-   * was, `untold` if the value's history doesn't reach back to `basedOn`.
+   * Finds this swap in the present value: returns the version at which it was accepted, `absent` if it never was,
+   * `untold` if the value's history doesn't reach back to `basedOn`.
    */
   readonly find: (present: { readonly version: number, readonly value: T }) => number | 'absent' | 'untold'
 }
 
+/** Pause before retrying a swap that was never sent, ms. */
 const RETRY_AFTER = 1_000
 
 /**
- * Swaps the value under one name by conditional update and says truthfully what became of it, also when the reply
- * was lost. The value must carry a bounded history with an id of each swap: the store's version alone can't tell a
- * swap that was refused from one that was accepted and followed by another.
+ * Swaps a stored value by conditional update and returns the true outcome, also when the reply was lost. The value must
+ * contain a bounded history with an id for each swap: the store's version alone can't distinguish a swap that was
+ * refused from one that was accepted and followed by another.
  *
- * A lost write may land later, but only while the version is still `basedOn`: so a reply lost with the version
- * unmoved is `unknown`, never `refused`; once the version has moved and the history lacks it, it can't land any more.
+ * A write without a reply may take effect later, but only while the version is still `basedOn`. The outcome is
+ * therefore `unknown`, never `refused`, while the version is unchanged; once the version has changed and the history
+ * doesn't contain the swap, it can't take effect any more.
  *
  * Errors: none are thrown; see `VersionOutcome`. Times in ms.
  *
