--- a/src/ownership/batch-run.ts
+++ b/src/ownership/batch-run.ts
@@ -106,11 +106,11 @@
     for (let last: number | undefined; !this.answer.done;) {
       const bytes = await open.exchange.read(last === undefined ? FIRST_TOKEN_TIMEOUT : NEXT_TOKEN_TIMEOUT)
       if (bytes.err) return bytes.val
-      if (bytes.val === undefined) return { why: 'cut', sent: true, detail: 'it ended before it was whole' }
+      if (bytes.val === undefined) return { why: 'cut', sent: true, detail: 'the stream ended before [DONE]' }
       const tokenCount = this.answer.tokens.length
       for (const { data } of reader.push(bytes.val)) {
         const next = stepBatchAnswer(this.answer, data)
-        if (next === undefined) return { why: 'cut', sent: true, detail: 'an event that is no chunk' }
+        if (next === undefined) return { why: 'cut', sent: true, detail: 'an event is not a valid chunk' }
         this.answer = next
       }
       const now = this.options.now()
--- a/src/ownership/server-watch.ts
+++ b/src/ownership/server-watch.ts
@@ -16,7 +16,7 @@
 
 const POLL_PERIOD = 500
 const POLL_TIMEOUT = 400
-/** A check that times out this much late says more about this daemon than about the server, ms. */
+/** How late a check may time out and still count as failed, ms; beyond that, this daemon itself was delayed. */
 const LATE_MARGIN = 200
 /** Keeps connections open over several polls, ms; an unresponsive connection is closed by the poll that times out on it. */
 const KEEP_ALIVE = 4 * POLL_PERIOD
--- a/test/ownership/batch-admission.test.ts
+++ b/test/ownership/batch-admission.test.ts
@@ -12,7 +12,7 @@
 const OPTIONS = { policy: { type: 'preempting' }, maxInFlight: 32, betweenTokens: 46 } as const
 const LENGTH = 1_200_000
 
-/** Plays events and carries out the effects; gives back the state after each event. */
+/** Applies events and carries out the effects; returns the state after each event. */
 function play (events: ReadonlyArray<{ readonly event: BatchAdmissionEvent, readonly time: number }>): Array<ReturnType<typeof createBatchAdmission>> {
   let state = createBatchAdmission(OPTIONS)
   let now = 0
@@ -37,7 +37,7 @@
   fc.constant({ type: 'tick' as const })
 )
 
-test('batch streams stay within the slots, and beside online requests below the peak of these', t => {
+test('batch streams stay within the limit of the server, and beside online requests below their peak', t => {
   fc.assert(fc.property(fc.array(fc.record({ event, time: fc.nat(500) }), { maxLength: 200, size: 'max' }), events => {
     return play(events).every(({ streams, online, peak }) => {
       return streams.length <= OPTIONS.maxInFlight && (online === 0 || streams.length === 0 || streams.length + online <= peak)
@@ -46,7 +46,7 @@
   t.pass()
 })
 
-test('an online request on an idle server makes batch give way in the same step, the latest first', t => {
+test('an online request on an idle server preempts batch streams in the same step', t => {
   const ticks = Array.from({ length: 40 }, (_, i) => [{ event: { type: 'tick' as const }, time: 10 }, { event: { type: 'prefilled' as const, id: String(i) }, time: 1 }]).flat()
   const states = play([...ticks, { event: { type: 'online', count: 10 }, time: 1 }, { event: { type: 'online', count: 3 }, time: 1 }, { event: { type: 'online', count: 10 }, time: 1 }])
   t.true(states.at(-4)!.streams.length >= 16)
@@ -54,9 +54,9 @@
   t.is(states.at(-1)!.streams.length, 0)
 })
 
-// A batch item with a long prompt has started beside online requests and still prefills when the next of these begins. The
-// engine prefills in the order of arrival, so that its caller would wait for the whole of that prompt: several steps.
-test('an item that still prefills gives way to an online request that begins, also where there is room for both', t => {
+// The engine prefills in order of arrival, so an online request would wait for the whole prompt of a batch item that
+// started just before it.
+test('an item that still prefills is preempted by a new online request, even if there is room for both', t => {
   const before = [{ event: { type: 'online', count: 20 }, time: 1 }, { event: { type: 'online', count: 1 }, time: 100 }, { event: { type: 'tick' }, time: 1_000 }] as const
   const next = { event: { type: 'online', count: 2 }, time: 1 } as const
   const listIds = (more: Parameters<typeof play>[0]): readonly (readonly string[])[] => play([...before, ...more]).map(({ streams }) => streams.map(({ id }) => id))
@@ -65,9 +65,9 @@
   t.deepEqual(listIds([{ event: { type: 'prefilled', id: '0' }, time: 1 }, next]).slice(-2), [started, ['0']])
 })
 
-// The first online request on an idle server waits for the batch step that runs. Streams that were kept beside it
-// made its own step long as well, and such requests were a third of those beyond the 99th percentile.
-test('all streams give way to the first online request on an idle server and come back a step later, also where there is room', t => {
+// Streams kept beside the first online request would lengthen its own step, after it has already waited for a batch
+// step.
+test('the first online request on an idle server preempts all streams, and they return a step later, even if there is room', t => {
   const fill = [{ event: { type: 'online', count: 20 }, time: 1 }, { event: { type: 'online', count: 0 }, time: 1 }, { event: { type: 'observed', gap: 30 }, time: 1 }] as const
   const started = play(fill).at(-1)!.streams.map(({ id }) => ({ event: { type: 'prefilled' as const, id }, time: 1 }))
   const states = play([...fill, ...started, { event: { type: 'online', count: 1 }, time: 1 }, { event: { type: 'tick' }, time: 29 }, { event: { type: 'tick' }, time: 1 }])
@@ -75,17 +75,17 @@
   t.deepEqual(states.slice(-3).map(({ streams }) => streams.length), [0, 0, 3])
 })
 
-// An item with a long prompt starts on an idle server and its prefill makes a step long. Were the next one started as soon
-// as it has its first token, every few steps would be such, and one online request in a hundred would wait for one.
+// Long prompts started one right after another would make every few steps long, and online requests would wait for
+// them.
 for (const { prompt, wait } of [{ prompt: 16, wait: 1 }, { prompt: 100, wait: 29 }, { prompt: 300, wait: 258 }, { prompt: 1_500, wait: 6_429 }, { prompt: 100_000, wait: 6_429 }]) {
-  test(`after a prompt of ${prompt} tokens the next long one waits for ${wait} ms, and what is cached doesn't wait`, t => {
+  test(`after a prompt of ${prompt} tokens the next long one waits for ${wait} ms, and cached items don't wait`, t => {
     t.deepEqual(listLargest({ prompt, now: wait - 1 }), [16])
     t.deepEqual(listLargest({ prompt, now: wait }), [Infinity])
     t.deepEqual(listLargest({ prompt, now: 0, longPrompts: 'at once' }), [Infinity])
   })
 }
 
-// The same on servers that online requests leave alone, as at night or where a pool is for batch only.
+// The same on servers without online requests, as at night or in a pool for batch only.
 test('long prompts are paced until a minute after the last online request', t => {
   for (const [counts, now, largest] of [[[], 0, Infinity], [[1, 0], 59_999, 16], [[1, 0], 60_000, Infinity], [[3, 1, 0], 59_999, 16]] as const) {
     t.deepEqual(listLargest({ prompt: 1_500, now, counts, startedAt: Math.max(0, now - 100) }), [largest], `${counts.join()} at ${now}`)
@@ -94,7 +94,10 @@
 
 interface LongPrompt { readonly prompt: number, readonly now: number, readonly longPrompts?: 'paced' | 'at once', readonly counts?: readonly number[], readonly startedAt?: number }
 
-/** The longest prompt that may start on an idle server `now`, after these counts of online requests at 0 and the start of an item. */
+/**
+ * Returns the longest prompt that may start on an idle server at `now`, after these counts of online requests at 0 and
+ * the start of an item.
+ */
 function listLargest ({ prompt, now, longPrompts = 'paced', counts = [1, 0], startedAt = 0 }: LongPrompt): readonly unknown[] {
   const options = { ...OPTIONS, policy: { type: 'preempting', longPrompts } } as const
   const idle = counts.reduce((state, count) => stepBatchAdmission(state, { type: 'online', count }, 0, options).state, createBatchAdmission(options))
@@ -102,9 +105,8 @@
   return stepBatchAdmission(state, { type: 'prefilled', id: '0' }, now, options).effects.map(effect => effect.type === 'start' && effect.largest)
 }
 
-// Online requests come in bursts to a server that is full of batch streams. Their first tokens wait for the step that
-// is running and, until batch has given way, share steps with it; what callers see is the tail of the time to first
-// token. A load report comes up to a second late, and a second is as long as a burst.
+// Online requests come in bursts to a server full of batch streams, whose steps delay their first tokens. Load reports
+// lag by up to a second, which is as long as a burst.
 const bounds: Array<{ policy: BatchPolicy, holds: boolean }> = [{ policy: { type: 'preempting' }, holds: true }, { policy: { type: 'load reports' }, holds: false }]
 for (const { policy, holds } of bounds) {
   test(`the tail of online requests ${holds ? 'stays' : 'does not stay'} within its bounds with ${policy.type}, over twenty minutes of bursts`, t => {
--- a/test/ownership/claim.test.ts
+++ b/test/ownership/claim.test.ts
@@ -6,13 +6,13 @@
 const LONGEST = 200
 const TIMES = { authority: 300, longestAction: LONGEST, retryPause: 50 }
 
-/** A candidate, and what it still believes when it was frozen. */
+/** A candidate with its state and the replies that it hasn't handled yet. */
 interface Candidate { state: ClaimState, frozenUntil: number, readonly replies: ClaimEvent[] }
 
-/** Orders on their way to a server; `by` is the candidate. */
+/** An order on its way to a server; `by` is the candidate. */
 interface Sent { readonly by: number, readonly fencing: number, readonly arrives: number }
 
-/** A store, two candidates that both believe they should hold the claim, and a server that logs what takes effect. */
+/** A store, two candidates that both believe they should hold the claim, and a server that records the orders it applies. */
 class World {
   now = 0
   object = { holder: undefined as string | undefined, version: 0 }
@@ -37,7 +37,7 @@
     }
   }
 
-  /** All that a daemon does for an order when nothing goes wrong. */
+  /** Runs all steps of a daemon for an order without faults. */
   prove (i: number, delay: number): void {
     const { replies } = this.candidates[i]!
     for (const type of ['want', 'tick', 'confirm'] as const) {
@@ -80,16 +80,16 @@
     case 'lose': { const reply = candidate.replies.shift(); if (reply !== undefined) world.handle(who, { type: 'failed', attempt: (reply as { attempt: number }).attempt }); break }
     case 'order': world.order(who, delay); break
     case 'prove': world.prove(who, delay); break
-    // A frozen process goes on with what it believed: no `paused` event reaches the claim here.
+    // A frozen process resumes with its old state: no `paused` event reaches the claim here.
     case 'freeze': candidate.frozenUntil = world.now + 4 * time; break
     default: world.handle(who, { type: what } as ClaimEvent)
   }
 }
 
 for (const checksFencing of [true, false]) {
-  // Two daemons believe they own a server; one is frozen past its proof or its replies are lost, the other takes the
-  // claim, then the first goes on and orders. An order that took effect after a newer owner's would leave the server
-  // with what the older one wanted. With fencing the server refuses it; without, the newer one has waited it out.
+  // A daemon that was frozen past its proof, or whose replies were lost, may order after another daemon has claimed the
+  // server. Its order must not take effect after the newer owner's: a server that checks fencing refuses it, and
+  // otherwise the newer owner waits until it can't arrive any more.
   test(`orders take effect in the order of their fencing numbers, fencing ${checksFencing ? 'checked' : 'ignored'}`, t => {
     let orders = 0
     fc.assert(fc.property(fc.array(step, { minLength: 80, maxLength: 200, size: 'max' }), steps => {
--- a/test/ownership/dispatched-items.test.ts
+++ b/test/ownership/dispatched-items.test.ts
@@ -8,9 +8,9 @@
 const ITEMS = 40
 const RUN_TIME = 10
 
-// A job of non-idempotent items: each runs by the dispatcher, four at once, and none as a stream. A runner that took only
-// streams for work slept between the ticks of 500 ms: four items each, a tenth of what it does awake.
-test('items that run apart keep the runner awake', async t => {
+// Non-idempotent items run through the dispatcher, four at once. A runner that counts only streams as work would sleep
+// between capacity reports and run a tenth as many.
+test('items that run through the dispatcher keep the runner ticking', async t => {
   const clock = new VirtualClock()
   let [left, done] = [ITEMS, 0]
   const source = {
--- a/test/ownership/held-items.test.ts
+++ b/test/ownership/held-items.test.ts
@@ -8,9 +8,7 @@
 const ITEMS = 5
 const RUN_TIME = 100
 
-// What the caller sees: a job that never ends, one item short. Four items run by the dispatcher, the most at once, and the
-// fifth is held for the server that would have been next. That server goes down while its owner stays the same: nothing
-// starts there any more, and held for it the item was kept from all others (1 of 8 runs of poison-item, item-5).
+// An item held for a server that goes down is never started there, and its job would never end.
 test('an item held for a server that goes down is run at another one', async t => {
   const clock = new VirtualClock()
   const states: Record<string, 'open' | 'down'> = { s: 'open', t: 'open' }
@@ -34,7 +32,7 @@
   t.deepEqual(done, ['0', '1', '2', '3', '4'])
 })
 
-// What the caller sees: the same, while online requests fill the server that the item is held for and another one is idle.
+// The same while online requests fill the server for which the item is held and another one is idle.
 test('an item held for a server that online requests fill is run at an idle one', async t => {
   const clock = new VirtualClock()
   const done: string[] = []
--- a/test/ownership/helpers/order-trial.ts
+++ b/test/ownership/helpers/order-trial.ts
@@ -12,12 +12,12 @@
 import { MemoryStore } from '../../../stand-ins/platform/memory-store.js'
 import { VirtualClock } from '../../helpers/virtual-clock.js'
 
-/** Virtual time for each turn of the real loop, ms; a server answers within far fewer turns than a timeout has. */
+/** Virtual time per turn of the real event loop, ms; a server answers within far fewer turns than a timeout has. */
 const STEP = 1
 
 interface ReceivedOrder { readonly server: string, readonly order: any }
 
-/** One daemon's orders on virtual time, over HTTP servers that note what they are asked and change nothing by it. */
+/** The orders of one daemon on virtual time, to HTTP servers that record orders without applying them. */
 export class OrderTrial {
   readonly store = new MemoryStore()
   readonly received: ReceivedOrder[] = []
@@ -28,7 +28,7 @@
 
   constructor (private readonly t: ExecutionContext) {}
 
-  /** Adds a server that has this model loaded, or none. */
+  /** Adds a server with this model loaded, or none. */
   async addServer (name: string, model?: string): Promise<void> {
     const server = createServer(async (req, res) => {
       if (req.method === 'POST') for await (const part of req) this.received.push({ server: name, order: JSON.parse(String(part)) })
@@ -40,12 +40,12 @@
     this.instances.push({ name, pool: 'engines', host: '127.0.0.1', port: (server.address() as AddressInfo).port })
   }
 
-  /** The platform accepts a version; gives back the next one. */
+  /** Accepts a configuration in the store; returns the next version. */
   async accept (version: number): Promise<number> {
     return (await this.store.put('configuration', 'manifest', {}, version)).unwrap().version
   }
 
-  /** The daemon hears of a version. */
+  /** Gives the daemon a configuration of this version. */
   place (version: number, model: string): boolean {
     return this.configuration.offer({ ...emptyConfiguration, version, placement: { engines: { models: [model], checksFencing: true } } })
   }
--- a/test/ownership/last-tokens.test.ts
+++ b/test/ownership/last-tokens.test.ts
@@ -19,7 +19,7 @@
 
 interface Running { readonly clock: VirtualClock, readonly socket: Socket, readonly runner: BatchRunner, readonly outcome: Promise<BatchOutcome> }
 
-/** A runner on virtual time with one item under way over a real connection, of which two tokens came at once. */
+/** A runner on virtual time with one item in flight over a real connection. */
 async function start (t: ExecutionContext): Promise<Running> {
   const clock = new VirtualClock()
   let connect: (socket: Socket) => void
@@ -49,9 +49,9 @@
   return { clock, socket, runner, outcome }
 }
 
-// What the caller sees: nothing; but its item runs twice. The daemon is told to end in the instant in which the last step
-// of the run is over, with its bytes on their way. Closed right then, the run that had ended was given back.
-test('a run whose last tokens are on their way when the daemon is told to end has ended', async t => {
+// A run that is closed while its last bytes are on their way would be given back, and the finished item would run
+// again.
+test('a run whose last tokens are on their way when the daemon drains is finished', async t => {
   const { socket, runner, outcome } = await start(t)
   const drained = runner.drain()
   socket.end(HEAD + formatToken('one') + formatToken(' two', 'stop') + 'data: [DONE]\n\n')
@@ -59,7 +59,7 @@
   t.is((await outcome).type, 'finished')
 })
 
-test('one that goes on is closed right after its next tokens, and keeps them', async t => {
+test('a run that continues is closed right after its next tokens, and keeps them', async t => {
   const { socket, runner, outcome } = await start(t)
   const drained = runner.drain()
   socket.write(HEAD + formatToken('one') + formatToken(' two'))
@@ -67,7 +67,7 @@
   t.like(await outcome, { type: 'stopped', tokens: ['one', ' two'] })
 })
 
-test('one whose server says nothing more is closed all the same', async t => {
+test('a run whose server sends nothing more is closed after a timeout', async t => {
   const { clock, runner, outcome } = await start(t)
   const drained = runner.drain()
   await clock.advance(250)
@@ -75,9 +75,8 @@
   t.is((await outcome).type, 'stopped')
 })
 
-// The same on a daemon short of processor time: it is told to end, its loop stands still for 600 ms, in which the run ends, and
-// then runs the timer before it reads what has come. Two of 1,800 items ran again that way (1 of 4 runs of rolling).
-test('a loop that is late reads what has come before it closes a run', async t => {
+// A daemon short of CPU time runs its timers before it reads what has arrived, and would close a run that has ended.
+test('a delayed event loop reads arrived data before it closes a run', async t => {
   const { clock, socket, runner, outcome } = await start(t)
   const drained = runner.drain()
   clock.freeze(600)
--- a/test/ownership/late-checks.test.ts
+++ b/test/ownership/late-checks.test.ts
@@ -12,7 +12,7 @@
 
 const TIMEOUT = 400
 
-/** A clock whose timers run when a test says so, as late as it likes. */
+/** A clock whose timers run when a test says so, however late. */
 class LateClock {
   time = 0
   tick = (): void => {}
@@ -35,10 +35,10 @@
   }
 }
 
-// What callers would see: refusals for want of an open server, at a daemon that gets no processor for a while, with every
-// server well. Its checks are given up late, the answers unread. A server that is silent while the daemon runs is down.
+// A daemon short of CPU time ends its checks late, with the answers unread; it must not mark its servers down for that.
+// A server that doesn't answer while the daemon runs is down.
 for (const [state, pause] of [['open', 1_000], ['down', 0]] as const) {
-  test(`a server that is silent to a daemon that stands still for ${pause} ms at each check is ${state}`, async t => {
+  test(`a server without answers to a daemon that is paused for ${pause} ms at each check is ${state}`, async t => {
     let asked = 0
     const server = createServer(() => { asked++ }).listen(0, '127.0.0.1')
     t.teardown(() => server.close().closeAllConnections())
--- a/test/ownership/leaving.test.ts
+++ b/test/ownership/leaving.test.ts
@@ -4,15 +4,15 @@
 import { readFolder } from '../../src/config/read-folder.js'
 import type { RunRecord } from '../../stand-ins/engine/run-record.js'
 
-/** What is stated: the platform's list is read every second, an owner's view follows within a tenth, and a frame's way. */
+/** The stated bound, ms: the list is read every second, an owner's view follows within a tenth, plus the time of a frame. */
 const BOUND = 2_000
 const ITEMS = 200
 const NAMES = ['by list', 'by order', 'staying'] as const
 
-// Servers are told to leave, one by the platform's list and one by an operator's order, while online requests and
-// batch streams run on them. A daemon that hasn't heard would go on sending; whoever takes the server away would cut
-// what it sent. No run may start after the stated bound, and those that were running must come to their end.
-test('a leaving server gets no new work after the bound, and what runs is finished', async t => {
+// A server leaves by the platform's list and another by an operator's order, while online requests and batch streams
+// run on them. No run may start there after the bound, or it would be cut when the server is taken away, and runs in
+// flight must finish.
+test('a leaving server gets no new work after the bound, and its runs finish', async t => {
   const fleet = await Fleet.start()
   t.teardown(async () => await fleet.stop())
   const servers = await Promise.all(NAMES.map(async (name, i) => await fleet.addServer(name, `domain-${i}`, { pool: 'charter-engines', kind: 'engine', options: { stepBase: 10 } })))
@@ -39,7 +39,7 @@
   await Promise.all(asked)
   for (const i of [0, 1]) {
     const runs = await readRuns(i)
-    t.log(`${NAMES[i]}: last start ${Math.max(...runs.map(({ at }) => at)) - announced} ms after it was told`)
+    t.log(`${NAMES[i]}: last start ${Math.max(...runs.map(({ at }) => at)) - announced} ms after the announcement`)
     t.true(runs.every(({ at }) => at <= announced + BOUND), NAMES[i])
     t.true(runs.every(({ outcome, body }) => outcome === 'finished' || (outcome === 'cancelled' && body.includes('Draft'))), NAMES[i])
   }
--- a/test/ownership/load-slots.test.ts
+++ b/test/ownership/load-slots.test.ts
@@ -17,10 +17,9 @@
   }
 }
 
-// Two daemons believe for a moment that they own server a, as after a start or a pause, and both claim its slot. The
-// one that stays frees the slot when the load has ended. The other's write has changed its version: were the slot
-// forgotten then, it would look taken until its time runs out, and two such slots stop every load of the fleet.
-test('a slot that two owners wrote in turn comes free when the load has ended', async t => {
+// Two daemons briefly own server a and both write its slot. If the one that stays forgot the changed slot instead of
+// freeing it, it would be taken until it expires, and two such slots stop all loads.
+test('a slot that two owners wrote in turn is freed when the load has ended', async t => {
   const fleet = new Fleet()
   const [owner, other] = fleet.daemons
   t.deepEqual([await owner!.claim('a'), await other!.claim('a')], [true, true])
@@ -30,10 +29,9 @@
   t.deepEqual([await other!.claim('b'), await other!.claim('c')], [true, true])
 })
 
-// Two daemons believe for a moment that they own server a. One claims a slot for it, the other finds it loaded and frees
-// the slot, which others take. The first, ordered to load something else, must not go by what it remembers: three loads
-// would share what the weight store gives two.
-test('a slot that another owner freed is not held any more', async t => {
+// One of two daemons that briefly own server a frees its slot, which others claim. The first must not rely on its local
+// copy, or three loads would run where two are allowed.
+test('a slot that another owner freed is no longer held', async t => {
   const fleet = new Fleet()
   const [owner, other, third] = fleet.daemons
   t.true(await owner!.claim('a'))
@@ -43,8 +41,8 @@
   t.false(await owner!.claim('a'))
 })
 
-// The platform takes a claim and its reply is lost. Trying the next slot would hold both for one load, the first of
-// them with nobody who frees it.
+// A claim takes effect, but its reply is lost. Trying the next slot would hold two for one load, one of them forever
+// unused.
 test('a claim whose reply is lost takes one slot', async t => {
   const fleet = new Fleet()
   const [owner, other] = fleet.daemons
@@ -54,7 +52,7 @@
   t.deepEqual([await owner!.claim('a'), await other!.claim('b'), await other!.claim('c')], [true, true, false])
 })
 
-// The platform is out when the load has ended, or when a new owner looks for the slot of the one before.
+// The store is unavailable when the load has ended, or when a new owner adopts the slot.
 test('a slot is freed and adopted after an outage', async t => {
   const fleet = new Fleet()
   const [owner, next, other] = fleet.daemons
@@ -70,9 +68,9 @@
   t.deepEqual([await other!.claim('c'), await other!.claim('d')], [true, true])
 })
 
-// Any daemon may claim, free or forget for any server, with replies lost and outages. Then each server has one owner
-// again, which adopts, loads and frees. All have loaded within the time for which a lost slot is kept, and two visits each.
-test('whatever happened to the slots, every server loads within a bound', async t => {
+// Any daemon may claim, free or forget the slot of any server, with lost replies and outages. Then each server has one
+// owner again, which adopts the slot, loads and frees it: all must load within the slot duration plus a margin.
+test('after any operations on the slots, every server loads within a bound', async t => {
   const servers = ['a', 'b', 'c', 'd']
   const step = fc.record({ daemon: fc.nat(2), server: fc.constantFrom(...servers), act: fc.constantFrom('claim' as const, 'release' as const, 'adopt' as const, 'drop' as const), fault: fc.constantFrom('none' as const, LOST, OUT), time: fc.nat(1_000) })
   await fc.assert(fc.asyncProperty(fc.array(step, { maxLength: 30 }), async steps => {
--- a/test/ownership/online-counts.test.ts
+++ b/test/ownership/online-counts.test.ts
@@ -7,9 +7,9 @@
 const EMPTY: OnlineCountsState = { servers: new Map(), newest: new Map() }
 const report = (reporter: string, number: number, counts: Record<string, number>) => ({ type: 'told' as const, reporter, number, counts: new Map(Object.entries(counts)) })
 
-// A daemon tells of online requests that begin and end; frames are lost, come twice or in another order. A count that
-// drifts up holds batch back for good, one that drifts down lets batch stand in the way.
-test('whatever was lost or crossed, the newest level that arrives is the count', t => {
+// Reports may be lost, repeated or reordered. A count that drifts up blocks batch work forever; one that drifts down
+// lets batch work delay online requests.
+test('with lost, repeated and reordered reports, the newest that arrives counts', t => {
   const message = fc.record({ reporter: fc.constantFrom('a', 'b'), server: fc.constantFrom('s', 't'), count: fc.nat(5), lost: fc.boolean() })
   fc.assert(fc.property(fc.array(message, { maxLength: 30 }), fc.nat(), (messages, seed) => {
     const arriving = messages.map((each, number) => ({ ...each, number })).filter(({ lost }) => !lost)
@@ -21,7 +21,7 @@
   t.pass()
 })
 
-test('a reporter that died or went silent counts no more', t => {
+test('a reporter that was lost or became unresponsive no longer counts', t => {
   const two = stepOnlineCounts(stepOnlineCounts(EMPTY, report('a', 1, { s: 2 }), 0), report('b', 1, { s: 3 }), 2_000)
   t.is(countOnline(two, 's'), 5)
   t.is(countOnline(stepOnlineCounts(two, { type: 'lost', reporter: 'b' }, 2_000), 's'), 2)
--- a/test/ownership/online-repeat.test.ts
+++ b/test/ownership/online-repeat.test.ts
@@ -12,7 +12,7 @@
 
 const ONLINE = { work: 'online' } as ServerRequest
 
-/** The reporter `a`, with the owner `b` of all servers at the other end of a link. */
+/** A reporter `a` with a link to `b`, the owner of all servers. */
 async function startReporter (version = 3) {
   const clock = new VirtualClock()
   const reports: Array<{ readonly at: number, readonly counts: unknown }> = []
@@ -29,7 +29,7 @@
   return { clock, reports, peers, begin: () => observer.onBegin?.(ONLINE, 's'), end: () => observer.onEnd?.(ONLINE, 's', {} as never) }
 }
 
-test('a long request is told when it begins, every 5 s, and when it ends', async t => {
+test('a long request is reported when it begins, every 5 s, and when it ends', async t => {
   const { clock, reports, begin, end } = await startReporter()
   begin()
   await clock.advance(21_000)
@@ -38,7 +38,7 @@
   t.deepEqual(reports, [3, 6_000, 11_000, 16_000, 21_000, 21_003].map((at, i) => ({ at, counts: i < 5 ? { s: 1 } : {} })))
 })
 
-test('a request that ends and one that begins within 3 ms are told in one frame', async t => {
+test('a request that ends and one that begins within 3 ms are reported in one frame', async t => {
   const { clock, reports, begin, end } = await startReporter()
   begin()
   await clock.advance(100)
@@ -49,9 +49,9 @@
   t.deepEqual(reports, [3, 103].map(at => ({ at, counts: { s: 1 } })))
 })
 
-// The connection to the owner breaks just after the frame of a request that begins, or ends, went into it. Told anew only
-// after 5 s, batch would stay in the request's way so long, or for nothing out of the server's idle time for 17.5 s.
-test('what went into a connection that broke is told within a second over the next', async t => {
+// The connection to the owner breaks right after a report was written to it. Without a prompt repetition, the owner
+// would let batch work delay the request for 5 s, or leave the server idle for 17.5 s after it.
+test('a report lost with its connection is repeated within a second over the next', async t => {
   const { clock, reports, peers, begin, end } = await startReporter()
   await clock.advance(500)
   begin()
@@ -66,15 +66,15 @@
   t.deepEqual(reports.slice(2), [{ at: 1_003, counts: {} }, { at: 2_000, counts: {} }])
 })
 
-// A daemon of the version before forgets a level after 3.5 s, and would let batch in beside the request.
-test('an owner of an earlier version is told each second', async t => {
+// Daemons of the previous protocol version drop a count after 3.5 s, and would start batch work beside the request.
+test('an owner of an earlier version gets a report each second', async t => {
   const { clock, reports, begin } = await startReporter(2)
   begin()
   await clock.advance(5_000)
   t.deepEqual(reports.map(({ at }) => at), [3, 1_000, 2_000, 3_000, 4_000, 5_000])
 })
 
-test('an owner that has died is told no more', async t => {
+test('an owner that is no longer a member gets no more reports', async t => {
   const { clock, reports, peers, begin, end } = await startReporter()
   begin()
   await clock.advance(100)
--- a/test/ownership/orders.test.ts
+++ b/test/ownership/orders.test.ts
@@ -11,7 +11,7 @@
 const TIMES = { authority: 300, longestAction: 200, retryPause: 50 }
 const NAMES = ['a', 'b', 'c']
 
-test('the next order follows from what is wanted and what is there', t => {
+test('the next order follows from the placement and the reported state', t => {
   const state = (models: string, role = 'mixed') => ({ role, models: [...models].map(model => ({ model: model.toLowerCase(), state: model === model.toLowerCase() ? 'loaded' as const : 'loading' as const })) })
   for (const [wanted, present, order] of [
     ['ab', 'ab', undefined],
@@ -24,7 +24,7 @@
   t.deepEqual(planOrder({ models: ['a'], role: 'prefill' }, state('')), { kind: 'role', role: 'prefill' })
 })
 
-/** Two daemons that both believe they own a server, the later one knowing the later configuration. */
+/** Two daemons that both believe they own a server, the second one with the later configuration. */
 class Owners {
   now = 0
   object = { holder: undefined as string | undefined, version: 0 }
@@ -40,7 +40,7 @@
     for (const type of ['want', 'tick', 'confirm'] as const) this.handle(i, { type })
   }
 
-  /** One visit: reads the server, and sends the order after `delay`. */
+  /** One reconciliation: reads the server's state, and sends the order after `delay`. */
   visit (i: number, models: readonly string[], delay: number): void {
     const order = planOrder({ models }, this.server.read(this.now))
     const claim = this.claims[i]!
@@ -74,8 +74,8 @@
 }
 
 for (const checksFencing of [true, false]) {
-  // The first owner is cut off with an old configuration and goes on ordering by it; the second takes the server over
-  // with a newer one. Orders of both arrive late and crossed. In the end the server must have what is wanted last.
+  // The first owner is partitioned with an old configuration and keeps ordering by it; the second takes over with a
+  // newer one. Orders arrive late and out of order. The server must end with the state of the newer configuration.
   test(`the final state is the last accepted one, fencing ${checksFencing ? 'checked' : 'ignored'}`, t => {
     const step = fc.record({ who: fc.nat(1), time: fc.integer({ min: 1, max: 120 }), delay: fc.integer({ min: 1, max: 200 }), old: fc.subarray(NAMES), proves: fc.boolean() })
     fc.assert(fc.property(fc.array(step, { maxLength: 40 }), fc.subarray(NAMES), (steps, wanted) => {
@@ -98,7 +98,7 @@
   })
 }
 
-test('no more servers load at once than there are slots, and a slot of a dead owner comes free', async t => {
+test('no more servers load at once than there are slots, and a slot of a crashed owner expires', async t => {
   const store = new MemoryStore()
   let now = 0
   const create = (): LoadSlots => new LoadSlots({ store, date: () => now, count: 2, duration: 1_000 })
--- a/test/ownership/owner-parts.test.ts
+++ b/test/ownership/owner-parts.test.ts
@@ -11,7 +11,7 @@
 import { stepBatchAnswer } from '../../src/ownership/step-batch-answer.js'
 import { stepHealth } from '../../src/ownership/step-health.js'
 
-test('each server has one owner in its region, and only those of a lost daemon move', t => {
+test('each server has one owner in its region, and only servers of a lost daemon move', t => {
   const names = (count: number, region: string): Array<{ name: string, region: string }> => Array.from({ length: count }, (_, i) => ({ name: `${region}-${i}`, region }))
   const servers = names(60, 'r1').concat(names(60, 'r2'))
   const daemons = [...names(8, 'r1'), ...names(8, 'r2')].map(({ name, region }) => ({ name: `entry-${name}`, region }))
@@ -26,7 +26,7 @@
   t.is(daemons.reduce((sum, { name }) => sum + table.list(name).length, 0), servers.length)
 })
 
-test('owners after any changes are those of a ranking from the start', t => {
+test('owners after any changes equal those of a full ranking', t => {
   const placed = (names: readonly string[]) => names.map(name => ({ name, region: 'r' }))
   const list = (prefix: string) => fc.subarray(Array.from({ length: 9 }, (_, i) => `${prefix}${i}`))
   fc.assert(fc.property(fc.array(fc.record({ servers: list('s'), daemons: list('d') }), { minLength: 1, maxLength: 12 }), changes => {
@@ -44,7 +44,7 @@
   for (const [checks, state] of [['xx', 'open'], ['xx.xx', 'open'], ['xxx', 'down'], ['xxxx.', 'open'], ['llll', 'open'], ['xlxlx', 'down'], ['xxxl', 'down']] as const) t.is(run(checks), state, checks)
 })
 
-test('a streamed answer is put together as an unstreamed one, over two runs', t => {
+test('a streamed answer is reassembled like an unstreamed one, over two runs', t => {
   const start: BatchAnswer = { tokens: ['one'], resumed: 1, done: false }
   const events = [
     '{"id":"x","model":"m","created":5,"choices":[{"delta":{"content":" two"},"finish_reason":null}]}',
@@ -65,16 +65,16 @@
   for (const data of ['{', '5', '{"error":{"message":"x"}}']) t.is(stepBatchAnswer(start, data), undefined)
 })
 
-test('answers that are more than text are not streamed', t => {
+test('answers with more than text are not streamed', t => {
   for (const body of [{ n: 2 }, { tools: [{}] }, { logprobs: true }]) t.false(isStreamable(body))
   t.true(isStreamable({ n: 1, tools: undefined, logprobs: false }))
 })
 
-test('views of a whole region cost a daemon two bytes a ms, whatever its size', t => {
+test('views of a whole region cost a daemon about two bytes per ms, whatever its size', t => {
   for (const servers of [8, 300, 600]) t.true(servers * 80 / planViewPeriod(servers) <= 2.56)
 })
 
-test('an item counts as cached only where it gave way, and only for a while', t => {
+test('an item counts as cached only where it was preempted, and only for a while', t => {
   const runs = new RecentRuns()
   runs.record('item', 'server', 0)
   t.true(runs.isCached('item', 'server', 1_000))
--- a/test/ownership/paused-owner.test.ts
+++ b/test/ownership/paused-owner.test.ts
@@ -5,12 +5,11 @@
 
 const LATER = 1_500
 
-// A daemon that owns servers is frozen. Operators change what its servers are to have; other daemons take them over
-// and order it. Then the frozen one goes on, with the old configuration and claims it believes its own: ordering by
-// them would bring back what operators took away.
-// Servers that ignore fencing numbers take any order: there only what a daemon sends may keep them right.
+// A daemon that owns servers is paused while operators change the placement and other daemons take over and order it.
+// When it resumes, with its old configuration and claims, its orders must not revert the change, neither at servers
+// that check fencing numbers nor at those that ignore them.
 for (const checksFencing of [true, false]) {
-  test(`an owner that was paused doesn't bring an old placement back, fencing ${checksFencing ? 'checked' : 'ignored'}`, async t => {
+  test(`an owner that was paused doesn't restore an old placement, fencing ${checksFencing ? 'checked' : 'ignored'}`, async t => {
     const fleet = await Fleet.start()
     t.teardown(async () => await fleet.stop())
     const options = { checksFencing, weightBytes: 1_000, weightBytesPerSecond: 100_000 }
--- a/test/ownership/placement.test.ts
+++ b/test/ownership/placement.test.ts
@@ -5,10 +5,9 @@
 
 const LOAD_TIME = 150
 
-// Operators change what a pool is to have loaded while its servers still load what was wanted before, from a slow
-// weight store, and one of the daemons that order is killed. What counts is what the servers have in the end, and
-// that no more of them load at once than the store's rate allows.
-test('servers come to have what the placement wants last, within the slots for loads', async t => {
+// Operators change a pool's placement while its servers still load the previous one from a slow weight store, and one
+// of the ordering daemons is killed. The servers must end with the last placement, and not exceed the concurrent loads.
+test('servers end with the last placement, within the slots for loads', async t => {
   const fleet = await Fleet.start()
   t.teardown(async () => await fleet.stop())
   const options = { weightBytes: LOAD_TIME, weightBytesPerSecond: 1_000 }
@@ -31,7 +30,10 @@
   t.true(loads.every((at, i) => loads.slice(i).filter(other => other < at + LOAD_TIME).length <= 2))
 })
 
-/** When a server began to load something. Told once more to load what it loads or has, as two owners may within an instant, it reads nothing. */
+/**
+ * Returns when a server began to load a model. A repeated order for a model that it loads or has, which two owners may
+ * send at the same time, loads nothing.
+ */
 function listLoads (orders: ReadonlyArray<{ readonly kind: string, readonly model: string, readonly at: number }>): readonly number[] {
   const present = new Set<string>()
   return orders.flatMap(({ kind, model, at }) => {
--- a/test/ownership/poison-item.test.ts
+++ b/test/ownership/poison-item.test.ts
@@ -6,10 +6,9 @@
 const ITEMS = 40
 const POISON = 'ends the engine'
 
-// One item of a job crashes each engine that runs it, and many others are in flight beside it. The first crash makes
-// all of them suspects, which then run alone; the second leaves only the one. The job ends with that item failed and
-// all others complete, at the price of two servers.
-test('an item that crashes servers fails, costs at most two of them, and the others complete', async t => {
+// One item of a job crashes each engine that runs it, with many others in flight there. After the first crash all of
+// them are suspects and run in isolation, so that the second crash identifies the item.
+test('an item that crashes servers fails after at most two crashes, and the others complete', async t => {
   const fleet = await Fleet.start()
   t.teardown(async () => await fleet.stop())
   const servers = await Promise.all(['a', 'b', 'c', 'd'].map(async domain => await fleet.addServer(`engine-${domain}`, `domain-${domain}`, { pool: 'charter-engines', kind: 'engine' })))
--- a/test/ownership/preemption.test.ts
+++ b/test/ownership/preemption.test.ts
@@ -8,13 +8,12 @@
 const ITEMS = 24
 const TOKENS = 60
 const ONLINE = 12
-/** An owner that is told before the request has reached the engine closes streams before it, ms. */
+/** Most time by which the owner may close streams before the online request reaches the engine, ms. */
 const HEAD_START = 50
 
-// A server is full of batch streams when online requests come in through two daemons, of which at most one is the
-// server's owner. The engine knows no priorities: were the streams left there, each online token would come late.
-// They are closed at once and go on later from the tokens they had, so that no item is lost, repeated or reworded.
-test('batch streams give way to online requests and go on where they were', async t => {
+// Online requests arrive through two daemons at a server full of batch streams. The streams must be closed at once and
+// later resume from their tokens, so that no item is lost, repeated or changed.
+test('batch streams are preempted by online requests and resume from their tokens', async t => {
   const fleet = await Fleet.start()
   t.teardown(async () => await fleet.stop())
   const engine = await fleet.addServer('engine-0', 'domain-a', { pool: 'charter-engines', kind: 'engine', options: { stepBase: 10 } })
@@ -41,7 +40,7 @@
   const firstOnline = runs.find(run => !isItem(run))!
   const met = runs.filter(run => isItem(run) && run.at < firstOnline.at && run.endedAt! > firstOnline.at - HEAD_START)
   const preempted = met.filter(({ outcome }) => outcome === 'cancelled')
-  t.log(`${met.length} streams met online requests, ${preempted.length} gave way after ${preempted.map(({ endedAt }) => endedAt! - firstOnline.at).join(', ')} ms`)
+  t.log(`${met.length} streams met online requests, ${preempted.length} were preempted after ${preempted.map(({ endedAt }) => endedAt! - firstOnline.at).join(', ')} ms`)
   t.true(preempted.length >= met.length / 2)
   t.true(runs.some(run => isItem(run) && run.body.includes('resume_from')))
   const results = await callers[0]!.readResults(job.id, 'output')
--- a/test/ownership/server-batch.test.ts
+++ b/test/ownership/server-batch.test.ts
@@ -2,9 +2,9 @@
 import { ServerBatch } from '../../src/ownership/server-batch.js'
 import { VirtualClock } from '../helpers/virtual-clock.js'
 
-// What callers see: a daemon that goes on serving them when servers move to other owners, as after a daemon died or was
-// frozen. The runs on a server that is given up are stopped and end one by one; no end may start another item there.
-test('a server that was given up gets no more items when its runs end', t => {
+// The runs on a server that moved to another owner are stopped and end one by one; none of their ends may start another
+// item.
+test('a server that moved to another owner gets no more items when its runs end', t => {
   let started = 0
   const batch = new ServerBatch({
     admission: { policy: { type: 'forward' }, maxInFlight: 4, betweenTokens: 40 },
--- a/test/ownership/site-policy.test.ts
+++ b/test/ownership/site-policy.test.ts
@@ -7,14 +7,17 @@
 const LENGTH = 400_000
 const SEEDS = [1, 2, 3, 4, 5, 6, 7, 8]
 
-/** What the policy reaches today and is not to lose unseen: share of idle capacity at least, median of the first token over that without batch at most. */
+/**
+ * Regression bounds by site: least share of idle capacity that batch uses, and highest median time to first token
+ * relative to none.
+ */
 const REACHED: Readonly<Record<string, { readonly ofIdle: number, readonly median: number }>> = { keelmoor: { ofIdle: 1.9, median: 1.1 }, clearplate: { ofIdle: 1.015, median: 1.122 } }
 
-// Each user's online load comes in bursts to a server that batch fills. Between bursts a request comes every few hundred ms,
-// so that the server is idle for less than a second at a time: batch that comes back slowly leaves most of it unused,
-// and batch that fills it to the last slot keeps the next request waiting for a long step.
+// Online load comes in bursts, with requests every few hundred ms in between, so that the server is idle for less than
+// a second at a time. Batch that returns slowly leaves this time unused, and batch that fills all slots delays the next
+// request by a long step.
 for (const site of sites) {
-  test(`${site.name}: batch takes at least 0.9 of what is idle, and online tails stay within the bounds`, t => {
+  test(`${site.name}: batch uses at least 0.9 of the idle capacity, and online tails stay within the bounds`, t => {
     const play = (policy: BatchPolicy, online = true): Array<ReturnType<typeof runSite>> => SEEDS.map(seed => runSite(site, policy, { length: LENGTH, seed, online }))
     const [alone, none, ours] = [play({ type: 'forward' }, false), play({ type: 'none' }), play({ type: 'preempting' })]
     const ratio = (pick: 'firstToken' | 'betweenTokens', quantile: number): number => find(ours.flatMap(run => run[pick]), quantile) / find(none.flatMap(run => run[pick]), quantile)
@@ -29,9 +32,9 @@
   })
 }
 
-// Items with long prompts start beside online requests. The engine prefills them between two tokens of an online answer,
-// whose caller sees a gap; were they started as often as short ones, one gap in a hundred would be such.
-test('items with long prompts start so seldom beside online requests that the tail between tokens stays', t => {
+// The engine prefills batch items between two tokens of an online answer; long prompts started as often as short ones
+// would lengthen the tail between tokens.
+test('items with long prompts start rarely enough beside online requests to keep the tail between tokens', t => {
   for (const site of sites) {
     const [none, ours] = ([{ type: 'none' }, { type: 'preempting' }] as const).map(policy => runSite(site, policy, { length: LENGTH, seed: 1, itemPrompt: 300 }))
     const ratio = find(ours!.betweenTokens, 0.99) / find(none!.betweenTokens, 0.99)
@@ -40,8 +43,8 @@
   }
 })
 
-// Items with long prompts run on servers whose online callers come back after a few hundred ms of quiet. The step that
-// prefills such a prompt is longer than any of the site's own, and the caller who meets it waits for all of it.
+// The step that prefills a long prompt is longer than any of the site's own, and an online request that meets it waits
+// for all of it.
 const long: ReadonlyArray<{ readonly itemPrompt: number, readonly longPrompts: 'paced' | 'at once', readonly holds: boolean, readonly ofIdle: number }> = [
   { itemPrompt: 100, longPrompts: 'paced', holds: true, ofIdle: 0.6 },
   { itemPrompt: 200, longPrompts: 'paced', holds: true, ofIdle: 0.3 },
@@ -62,7 +65,7 @@
   })
 }
 
-test('a server of any size may have batch while it is idle, and keeps a slot free where it has two', t => {
+test('an idle server of any size may run batch, and keeps a slot free if it has two', t => {
   for (let slots = 1; slots <= 512; slots++) t.true(limitIdleStreams(slots) >= 1 && (slots === 1 || limitIdleStreams(slots) < slots))
 })
 
--- a/test/ownership/slot-wait.test.ts
+++ b/test/ownership/slot-wait.test.ts
@@ -2,10 +2,9 @@
 import test from 'ava'
 import { OrderTrial } from './helpers/order-trial.js'
 
-// What operators see: a change of placement that reaches the servers that can take it. Two of three were taken over just
-// now, and until their owner's claims have settled nothing may be ordered of them. Were they to hold the two slots for
-// loads meanwhile, the third would wait for them, which needs no waiting itself.
-test('a server whose claim has not settled keeps no slot from one whose claim has', async t => {
+// Until the claims of an owner settle, it may not order its servers. If they took the load slots meanwhile, a server
+// whose claim has settled would wait for them.
+test('a server whose claim has not settled takes no slot from one whose claim has', async t => {
   const trial = new OrderTrial(t)
   for (const name of ['a', 'b', 'c']) await trial.addServer(name)
   const version = await trial.accept(0)
--- a/test/ownership/stale-configuration.test.ts
+++ b/test/ownership/stale-configuration.test.ts
@@ -2,9 +2,8 @@
 import test from 'ava'
 import { OrderTrial } from './helpers/order-trial.js'
 
-// What operators see: a placement that stays as they set it last. A daemon that was frozen has claimed a server anew, so
-// that its orders carry the highest fencing number, but hasn't heard of the configuration that was accepted meanwhile.
-// It must not order by the one that it knows; once it knows the last one, it orders.
+// A daemon that was paused has claimed a server again, under the highest fencing number, but hasn't received the
+// configuration accepted meanwhile. It must not order by its old one, which would revert the operators' change.
 test('an owner orders by the configuration accepted last, or not at all', async t => {
   const trial = new OrderTrial(t)
   await trial.addServer('a', 'new')
