--- a/test/coordination/adaptive-limit.test.ts
+++ b/test/coordination/adaptive-limit.test.ts
@@ -4,7 +4,7 @@
 
 const TARGET = 100
 
-/** A server whose time grows with what all have in flight beyond 16: its right limit is about that. */
+/** Returns the response time of a server that slows down beyond 16 requests in flight, which is about its right limit. */
 function findTime (inFlight: number): number {
   return inFlight <= 16 ? 50 : 50 + (inFlight - 16) * 25
 }
@@ -17,19 +17,19 @@
   }
 }
 
-test('it settles about where times meet their target', t => {
+test('the limit converges to about where times meet their target', t => {
   const limit = new AdaptiveLimit({ highest: 64 })
   runRounds([limit], 200)
   t.true(limit.value >= 12 && limit.value <= 20, String(limit.value))
 })
 
-test('two who limit the same server each by their own come to about equal limits', t => {
+test('two clients that limit the same server, each by its own samples, converge to about equal limits', t => {
   const limits = [new AdaptiveLimit({ highest: 64, initial: 16 }), new AdaptiveLimit({ highest: 64, initial: 1 })]
   runRounds(limits, 400)
   t.true(Math.abs(limits[0]!.value - limits[1]!.value) <= 3, limits.map(({ value }) => value).join())
 })
 
-test('whatever is recorded it stays within its bounds, and falls once in a pause', t => {
+test('the limit stays within its bounds for any samples, and decreases at most once per pause', t => {
   const sample = fc.record({ ratio: fc.double(), inFlight: fc.nat(100), now: fc.nat(10_000) })
   t.notThrows(() => fc.assert(fc.property(fc.array(sample), samples => {
     const limit = new AdaptiveLimit({ lowest: 2, highest: 32 })
--- a/test/coordination/examples.test.ts
+++ b/test/coordination/examples.test.ts
@@ -13,7 +13,7 @@
 const nothing = (): void => {}
 let time = 0
 
-/** Time passes as soon as somebody waits for it. */
+/** A clock on which time passes as soon as something waits for it. */
 const clock = {
   now: () => time,
   date: () => time,
@@ -27,7 +27,7 @@
   }
 }
 
-/** What the examples take from their surroundings, by the names they use. */
+/** Values that the examples use without declaring them, by name. */
 const surroundings = {
   clock,
   random: new Random(1),
@@ -52,7 +52,7 @@
   findChange: () => undefined
 }
 
-/** Some examples name the same thing differently from others. */
+/** Values by example file, where the same name means something else. */
 const own: Readonly<Record<string, Readonly<Record<string, unknown>>>> = {
   'is-claim-proven.ts': { state: { type: 'held', attempt: 1, version: 4, confirmedAt: 0, takenAt: 0, checkAt: 1 } },
   'is-claim-settled.ts': { state: { type: 'held', attempt: 1, version: 4, confirmedAt: 0, takenAt: 0, checkAt: 1 }, order: {} },
@@ -63,12 +63,12 @@
   return [...readFileSync(`${FOLDER}/${file}`, 'utf8').matchAll(EXAMPLE)].map(([, block]) => ({ file, code: block!.replaceAll(/^ \* ?/gm, '') }))
 })
 
-test('each part for embedding has an example', t => {
+test('each exported component has an example', t => {
   t.true(examples.length >= 11, `${examples.length} examples`)
 })
 
 for (const { file, code } of examples) {
-  test(`the example of ${file} runs against the package as others import it`, async t => {
+  test(`the example of ${file} runs against the package as embedders import it`, async t => {
     const scope = { ...coordination, ...surroundings, ...own[file] }
     const script = ts.transpileModule(code, { compilerOptions: { target: ts.ScriptTarget.ES2022 } }).outputText
     const run = compileFunction(`return (async () => { ${script} })()`, Object.keys(scope))
--- a/test/coordination/group-commit.test.ts
+++ b/test/coordination/group-commit.test.ts
@@ -8,10 +8,9 @@
 const SEED = 20261205
 type Outcome = 'written' | 'failed' | 'reply lost' | 'final'
 
-// What the caller of `add` sees: Ok only for what is durable, errors only where trying again is of no use. Writes
-// fail before or after they took effect, in any order; entries must neither be lost, nor overtake one another, nor
-// be acknowledged early.
-test('what is acknowledged is durable, in order, under any order of failures', async t => {
+// Writes fail before or after they took effect, in any order. Entries must neither be lost nor overtake one another, be
+// acknowledged only when durable, and fail only where retrying is useless.
+test('acknowledged entries are durable and in order, under any order of failures', async t => {
   const outcomes = fc.array(fc.constantFrom<Outcome>('written', 'failed', 'reply lost', 'final'), { maxLength: 20 })
   await fc.assert(fc.asyncProperty(fc.array(fc.nat(3_000), { maxLength: 40 }), outcomes, async (gaps, outcomes) => {
     const clock = new VirtualClock()
@@ -46,7 +45,7 @@
   t.pass()
 })
 
-test('entries wait for one another, but not past their limits', async t => {
+test('entries wait for one another, but not beyond their limits', async t => {
   const clock = new VirtualClock()
   const batches: number[] = []
   const commit = new GroupCommit<string, never>({ clock, maxEntries: 3, maxSize: 10, maxWait: 1_000, measure: ({ length }) => length, isFinal: () => true, write: async entries => { batches.push(entries.length); return Ok(undefined) } })
--- a/test/coordination/lease.test.ts
+++ b/test/coordination/lease.test.ts
@@ -14,7 +14,7 @@
   return { store, clock, a: build('a'), b: build('b') }
 }
 
-test('a second holder gets it only once it has lapsed, under a higher fencing number', async t => {
+test('a second holder gets the lease only once it has expired, under a higher fencing number', async t => {
   const { clock, a, b } = setUp()
   const first = (await a.take()).unwrap()
   t.deepEqual((await b.take()).val, { type: 'held', by: 'a', wait: LAPSE })
@@ -22,7 +22,7 @@
   t.true((await b.take()).unwrap() > first)
 })
 
-test('renewal keeps the fencing number; release lets the next one in at once', async t => {
+test('renewal keeps the fencing number, and after a release the next holder gets the lease at once', async t => {
   const { clock, a, b } = setUp()
   const first = (await a.take()).unwrap()
   await clock.advance(600)
@@ -33,9 +33,9 @@
   t.true((await b.take()).ok)
 })
 
-// A holder is frozen past its lease; the next one takes it; the first thaws and must know before any I/O.
-// Without the check against its own clock it would go on with the old fencing number.
-test('a holder paused past its lease finds it lapsed at once, and its renewal is lost', async t => {
+// A holder is paused past its lease, and another takes it. The first must detect this before any I/O, or it would act
+// under its old fencing number.
+test('a holder paused past its lease finds it expired at once, and its renewal is lost', async t => {
   const { clock, a, b } = setUp()
   await a.take()
   await b.take()
@@ -45,9 +45,8 @@
   t.deepEqual((await a.renew()).val, { type: 'lost' })
 })
 
-// The reply to the write that took the lease is lost: the holder can't know that it has it.
-// It must not act, and must not wait out its own lease either.
-test('a lost reply leaves it not held; the next take gets it under a new number', async t => {
+// The reply to the write that took the lease is lost. The holder must not act, nor wait for its own lease to expire.
+test('after a lost reply the lease is not held, and the next take gets it under a new number', async t => {
   const { store, a } = setUp()
   store.fault = ({ call }) => call === 'put' ? { loseReply: { type: 'unknown', reason: 'cut' } } : 'none'
   t.is((await a.take()).err, true)
@@ -56,7 +55,7 @@
   t.true((await a.take()).ok)
 })
 
-test('never two holders at once, whatever the order of takes, renewals, releases, pauses and lost replies', async t => {
+test('never two holders at once, in any order of takes, renewals, releases, pauses and lost replies', async t => {
   const step = fc.record({ who: fc.constantFrom('a', 'b'), what: fc.constantFrom('take', 'renew', 'release', 'lose'), wait: fc.integer({ min: 0, max: 700 }) })
   await fc.assert(fc.asyncProperty(fc.array(step, { maxLength: 40 }), async steps => {
     const { store, clock, ...holders } = setUp()
--- a/test/coordination/membership.test.ts
+++ b/test/coordination/membership.test.ts
@@ -5,7 +5,7 @@
 import { MemberSimulation } from '../helpers/simulate-members.js'
 
 const SIZE = 6
-/** Within this a dead member of six is dropped by all: a round of probes, the suspicion, and its news. */
+/** Time within which all of six members drop a dead one, ms: a round of probes, the suspicion and its distribution. */
 const DROP_BOUND = 9_000
 
 function settle (seed = 1): MemberSimulation {
@@ -23,7 +23,7 @@
   t.false(isNewerRecord(record(1, 'suspect'), undefined))
 })
 
-test('all know all after the start, and one that the list lacks counts once it speaks', t => {
+test('all members know each other after the start, including one that is not listed but sends messages', t => {
   const fleet = settle()
   fleet.start('unlisted')
   fleet.step('unlisted', { type: 'listed', members: [{ name: 'entry-0', data: {} }] })
@@ -32,14 +32,14 @@
   t.true(fleet.names.every(name => fleet.states.get(name)!.settled))
 })
 
-test('one that is listed but never answers ends dead', t => {
+test('a listed member that never answers ends dead', t => {
   const fleet = settle()
   fleet.step('entry-0', { type: 'listed', members: [{ name: 'ghost', data: {} }] })
   fleet.run(DROP_BOUND)
   t.true(fleet.agree('ghost', 'dead'))
 })
 
-test('a leaving member is known as such at once, one that ended needs no suspicion', t => {
+test('a leaving member is known as such at once, and one that ended needs no suspicion', t => {
   const fleet = settle()
   fleet.step('entry-1', { type: 'leave' })
   fleet.run(200)
@@ -50,9 +50,9 @@
   t.true(fleet.agree('entry-1', 'dead'))
 })
 
-// A process ends without a word, and its address refuses connections. One that found that out tells the others, who need no
-// suspicion; the same process started anew is not taken for dead by word of its earlier life.
-test('a member whose process has ended is dead at once, and one that started anew is not', t => {
+// A process ends without a message, and its address refuses connections. The member that notices this informs the
+// others; a restart of the process is another incarnation and must not count as dead.
+test('a member whose process has ended is dead at once, and one that restarted is not', t => {
   const fleet = settle()
   const { incarnation } = fleet.states.get('entry-0')!.members.get('entry-1')!
   fleet.stopped.add('entry-1')
@@ -75,17 +75,17 @@
   t.true(fleet.agree('entry-2', 'alive'))
 })
 
-// Connections from one member to another are cut in one direction or both while all others work. The probe that
-// fails is repeated through helpers, so nobody is even suspected.
-test('a cut between two members alone makes nobody dead', t => {
+// Connections between two members fail while all others work. Probes through helpers succeed, so no member may be
+// suspected.
+test('a broken connection between two members makes no member dead', t => {
   const fleet = settle()
   fleet.loses = (from, to) => from === 'entry-0' && to === 'entry-1'
   fleet.run(30_000, () => t.true(fleet.agree('entry-1', 'alive')))
 })
 
-// A daemon is frozen, the others declare it dead, it thaws with what it believed before. Acting on that it would
-// own things that others own now; so it knows nobody until it has heard from somebody, and is a new incarnation.
-test('a paused member drops its beliefs before it acts, and comes back under a new incarnation', t => {
+// A paused member is declared dead and resumes with its old view. Acting on that view, it would own things that others
+// own now, so it knows no other member until it has received a message.
+test('a paused member drops its view before it acts, and returns under a new incarnation', t => {
   const fleet = settle()
   const before = fleet.states.get('entry-3')!.members.get('entry-3')!.incarnation
   fleet.paused.add('entry-3')
@@ -100,8 +100,8 @@
   t.true(fleet.states.get('entry-0')!.members.get('entry-3')!.incarnation > before)
 })
 
-// Two halves lose each other for longer than a suspicion lasts, each declares the other dead; then the cut heals.
-// Nobody would ever probe a dead member again; the list, which still has it, is why somebody does.
+// Two halves are partitioned for longer than a suspicion lasts, and each declares the other dead. Dead members aren't
+// probed, so only the list makes them find each other again.
 test('halves that declared each other dead find each other again', t => {
   const fleet = settle()
   const half = (name: string): boolean => Number(name.at(-1)) < 3
@@ -113,7 +113,7 @@
   for (const name of fleet.names) t.true(fleet.agree(name, 'alive'), name)
 })
 
-test('over random losses, cuts, pauses and restarts: the living are all found, the dead are dropped, none comes back in the same incarnation', t => {
+test('with random losses, partitions, pauses and restarts, all live members are found, dead ones are dropped, and none returns in the same incarnation', t => {
   const name = fc.integer({ min: 0, max: SIZE - 1 }).map(i => `entry-${i}`)
   const fault = fc.record({ what: fc.constantFrom('loss', 'cut', 'pause', 'kill', 'restart', 'heal'), who: name, other: name, time: fc.integer({ min: 200, max: 6_000 }) })
   fc.assert(fc.property(fc.array(fault, { maxLength: 8 }), fc.integer({ min: 1, max: 1_000 }), (faults, seed) => {
@@ -142,20 +142,20 @@
   t.pass()
 })
 
-/** Fails if somebody who saw a member dead sees it alive in the same incarnation. */
+/** Fails if a member that saw another one dead sees it alive in the same incarnation. */
 function watchDead (fleet: MemberSimulation, dead: Map<string, number>): void {
   for (const by of fleet.names) {
     for (const { name, status, incarnation } of fleet.states.get(by)!.members.values()) {
       const key = `${by}/${name}`
       if (status === 'dead') dead.set(key, incarnation)
-      else if (incarnation > 0 && incarnation <= (dead.get(key) ?? -1)) throw new Error(`${by} sees ${name} back from the dead`)
+      else if (incarnation > 0 && incarnation <= (dead.get(key) ?? -1)) throw new Error(`${by} sees ${name} alive again in a dead incarnation`)
     }
   }
 }
 
-// A failure domain of three goes dark, with a third of the members. Until all have dropped them their servers have owners that
-// don't answer; told as slowly as news of members that live, the last of the news came after half a minute at 380.
-test('a third of the members lost at once is dropped by all soon', t => {
+// One of three failure domains fails, with a third of the members. Until all others have dropped them, their servers
+// have owners that don't answer.
+test('a third of the members lost at once is dropped by all others soon', t => {
   const fleet = new MemberSimulation(150)
   fleet.run(60_000)
   const lost = fleet.names.slice(0, 50)
--- a/test/coordination/region-partition.test.ts
+++ b/test/coordination/region-partition.test.ts
@@ -7,11 +7,10 @@
 
 const isSorted = (versions: readonly number[]): boolean => versions.every((version, i) => i === 0 || version > versions[i - 1]!)
 
-// Callers of both regions are served throughout. The link between the regions is cut for five minutes, and the platform
-// is reached from the north alone, where operators go on changing the configuration; each region holds the other's
-// daemons for dead. Then the link is whole: the south must catch up and both must find each other, without all of
-// them calling the platform, or sending all they know to all, at once.
-test('two regions parted for five minutes keep serving, revert nothing, and are whole again soon', t => {
+// The link between two regions fails for five minutes, while operators change the configuration through the north,
+// which alone reaches the store. After the link heals, the south must catch up and both must find each other again,
+// without flooding the store or the network.
+test('two regions partitioned for five minutes keep serving, revert nothing, and soon agree again', t => {
   const trial = new RegionTrial(SIZE, 60)
   const { members } = trial
   trial.run(60 * SECOND)
@@ -50,7 +49,7 @@
   return { calls: trial.calls - calls, bytes: trial.members.bytes + trial.versionBytes - bytes }
 }
 
-/** What the minute after the cut brings; times in ms, 0 for never. */
+/** Measures the minute after the partition; times in ms, 0 for never. */
 function heal (trial: RegionTrial): { readonly configured: number, readonly whole: number, readonly calls: number, readonly worstSecond: number } {
   const { members } = trial
   const [start, calls] = [members.now, trial.calls]
--- a/test/coordination/spread-version.test.ts
+++ b/test/coordination/spread-version.test.ts
@@ -22,7 +22,7 @@
 
 interface Due { readonly at: number, readonly to: number, readonly event: VersionEvent<string> }
 
-/** A fleet on virtual time: frames take up to `LATENCY` ms, and one in twenty is lost. */
+/** A fleet on virtual time: frames take up to `LATENCY` ms, and a share of `LOSS` is lost. */
 class SpreadTrial {
   readonly random = new Random(5)
   readonly states: Array<VersionState<string>> = []
@@ -74,7 +74,7 @@
   }
 }
 
-test('a change is in force at 380 daemons within 3 s, with one watch heard and one frame in twenty lost', t => {
+test('a change is in force at 380 daemons within 3 s, with one watch notified and one frame in twenty lost', t => {
   const hashes = Array.from({ length: PARTS }, (_, i) => `part-${i}`.padEnd(32, '0'))
   const part = hashes[7]!.replace('part', 'next') + PART
   const trial = new SpreadTrial({ version: 1, parts: hashes, body: {} })
--- a/test/coordination/step-version.test.ts
+++ b/test/coordination/step-version.test.ts
@@ -14,7 +14,7 @@
 
 interface Sent { readonly to: number, readonly event: VersionEvent<string> }
 
-/** Holders, a store and a network that delivers, loses, repeats and reorders as the test says. */
+/** Holders, a store and a network that delivers, loses, repeats and reorders messages as the test requires. */
 class Net {
   readonly states: Array<VersionState<string>> = Array.from({ length: HOLDERS }, () => createVersionState<string>())
   readonly heads: VersionHead[] = []
@@ -57,7 +57,7 @@
       case 'spread': this.send(holder, (holder + 1) % HOLDERS, effect.message); break
       case 'read parts': this.sent.push({ to: holder, event: { type: 'read parts', parts: effect.hashes.map(hash => hash.slice(5)) } }); break
       case 'act': {
-        if (effect.head.version <= (this.acted[holder]!.at(-1) ?? 0)) this.broken = `holder ${holder} went from ${this.acted[holder]!.join()} to ${effect.head.version}`
+        if (effect.head.version <= (this.acted[holder]!.at(-1) ?? 0)) this.broken = `holder ${holder} returned from ${this.acted[holder]!.join()} to ${effect.head.version}`
         if (effect.parts.some((part, i) => options.hash(part) !== effect.head.parts[i])) this.broken = `holder ${holder} acted on wrong parts`
         this.acted[holder]!.push(effect.head.version)
       }
@@ -88,7 +88,7 @@
   }
 }
 
-/** Ends all faults and lets ticks go on; gives back the rounds until all act on the highest version. */
+/** Ends all faults and continues with ticks; returns the number of rounds until all act on the highest version. */
 function heal (net: Net): number {
   net.read(0)
   const highest = net.heads.at(-1)?.version ?? 0
@@ -101,10 +101,9 @@
   return Infinity
 }
 
-test('versions never go down, and all reach the highest once one path exists', t => {
-  // The caller sees that an accepted configuration stays in force. What happens: versions are published while reads
-  // are old and messages are lost, repeated, reordered and late; then faults end and one holder reads the store. Why:
-  // a holder that took whatever came last would go back to an older version.
+test('versions never decrease, and all holders reach the highest once a path exists', t => {
+  // Versions are published while reads are old and messages are lost, repeated, reordered and late; then the faults end
+  // and one holder reads the store. A holder that accepted the last message received would return to an older version.
   fc.assert(fc.property(fc.array(operation, { maxLength: 120 }), operations => {
     const net = new Net()
     for (const done of operations) runOperation(net, done)
@@ -115,7 +114,7 @@
   t.pass()
 })
 
-test('a holder alone reads the store; one that starts while the store is out gets it from its peers', t => {
+test('one holder reads the store, and the others get the version from their peers', t => {
   const net = new Net()
   net.publish(40)
   net.read(0)
@@ -123,7 +122,7 @@
   t.deepEqual(net.states.map(({ head }) => head?.version), Array.from({ length: HOLDERS }, () => 3))
 })
 
-test('a part with a wrong hash is dropped, and asked for again', t => {
+test('a part with a wrong hash is dropped, and requested again', t => {
   const net = new Net()
   net.publish(1)
   net.step(1, { type: 'message', from: '0', message: { type: 'head', head: net.heads[0]! } })
@@ -134,7 +133,7 @@
   t.deepEqual(net.sent.at(-1), { to: 2, event: { type: 'message', from: '1', message: { type: 'ask parts', hashes: ['hash-3'] } } })
 })
 
-test('only changed parts travel', t => {
+test('only changed parts are sent', t => {
   const net = new Net()
   net.publish(3)
   net.read(0)
--- a/test/coordination/write-version.test.ts
+++ b/test/coordination/write-version.test.ts
@@ -20,15 +20,15 @@
   return { store, swap }
 }
 
-test('the reply is lost after the swap took effect: accepted', async t => {
+test('a swap whose reply is lost after it took effect is accepted', async t => {
   const { store, swap } = await start()
   store.fault = ({ call }) => call === 'put' ? { loseReply: lost } : 'none'
   t.deepEqual(await swap('a', 1), { type: 'accepted', version: 2 })
 })
 
-test('the swap lands later: unknown while it may still land, and it does', async t => {
-  // The operator sees "unknown", never "refused". What happens: the write hangs in the network, the read back shows
-  // the old version, then the write lands. Why: the version hasn't moved, so the condition of the write still holds.
+test('a swap is unknown while it may still take effect, and it does', async t => {
+  // The write is delayed in the network, and the read back returns the old version, under which the write may still
+  // take effect.
   const { store, swap } = await start()
   store.fault = ({ call }) => call === 'put' ? { landLater: lost } : 'none'
   t.is((await swap('a', 1)).type, 'unknown')
@@ -37,7 +37,7 @@
   t.deepEqual((await store.get<Value>('k', 'n')).unwrap().value.ids, ['first', 'a'])
 })
 
-test('the swap is held back and another one is accepted: refused, and it never lands', async t => {
+test('a swap delayed until another one is accepted is refused, and never takes effect', async t => {
   const { store, swap } = await start()
   store.fault = ({ call }) => {
     if (call !== 'put') return 'none'
@@ -50,7 +50,7 @@
   t.deepEqual((await store.get<Value>('k', 'n')).unwrap().value.ids, ['first', 'b'])
 })
 
-test('the reply is lost, and another swap follows ours before we read back: accepted, at our version', async t => {
+test('a swap whose reply is lost is accepted at its version, even if another one follows before the read back', async t => {
   const { store, swap } = await start()
   store.fault = ({ call }) => {
     if (call !== 'get') return { loseReply: lost }
@@ -60,7 +60,7 @@
   t.deepEqual(await swap('a', 1), { type: 'accepted', version: 2 })
 })
 
-test('nothing was sent, the read back fails, or the history is too short', async t => {
+test('a swap is not sent, or unknown if the read back fails or the history is too short', async t => {
   const { store, swap } = await start()
   store.fault = () => ({ fail: { type: 'unavailable', reason: 'outage' } })
   t.is((await swap('a', 1)).type, 'not sent')
