--- a/test/coordination/membership.test.ts
+++ b/test/coordination/membership.test.ts
@@ -92,7 +92,7 @@
   fleet.stopped.add('entry-4')
   fleet.run(DROP_BOUND)
   t.true(fleet.agree('entry-3', 'dead'))
-  fleet.thaw('entry-3')
+  fleet.resume('entry-3')
   t.false(fleet.states.get('entry-3')!.settled)
   fleet.run(4_000)
   t.true(fleet.agree('entry-3', 'alive'))
@@ -135,7 +135,7 @@
       fleet.run(time, watch)
     }
     fleet.loses = () => false
-    for (const who of [...fleet.paused]) if (!fleet.stopped.has(who)) fleet.thaw(who)
+    for (const who of [...fleet.paused]) if (!fleet.stopped.has(who)) fleet.resume(who)
     fleet.run(60_000, watch)
     return [...fleet.states.keys()].every(who => fleet.stopped.has(who) ? fleet.agree(who, 'dead') : fleet.agree(who, 'alive'))
   }), { numRuns: 60, seed: 5 })
--- a/test/coordination/region-partition.test.ts
+++ b/test/coordination/region-partition.test.ts
@@ -1,5 +1,5 @@
 import test from 'ava'
-import { RegionTrial } from '../helpers/simulate-regions.js'
+import { RegionSimulation } from '../helpers/simulate-regions.js'
 
 const SECOND = 1_000
 const PARTITION = 300 * SECOND
@@ -11,57 +11,57 @@
 // which alone reaches the store. After the link heals, the south must catch up and both must find each other again,
 // without flooding the store or the network.
 test('two regions partitioned for five minutes keep serving, revert nothing, and soon agree again', t => {
-  const trial = new RegionTrial(SIZE, 60)
-  const { members } = trial
-  trial.run(60 * SECOND)
+  const simulation = new RegionSimulation(SIZE, 60)
+  const { members } = simulation
+  simulation.run(60 * SECOND)
   t.true(members.names.every(name => members.agree(name, 'alive')))
-  const quiet = measure(trial, 20 * SECOND)
-  trial.cut = true
+  const quiet = measure(simulation, 20 * SECOND)
+  simulation.partitioned = true
   let [ownerless, foreign] = [0, 0]
   for (let version = 2; version <= 7; version++) {
-    trial.platform = { version, parts: [`part-${version}`], body: {} }
-    trial.run(PARTITION / 6, () => {
+    simulation.platform = { version, parts: [`part-${version}`], body: {} }
+    simulation.run(PARTITION / 6, () => {
       for (const name of members.names) {
-        for (const server of trial.servers.filter(({ region }) => region === trial.findRegion(name))) {
-          const owner = trial.findOwner(name, server.name)
+        for (const server of simulation.servers.filter(({ region }) => region === simulation.findRegion(name))) {
+          const owner = simulation.findOwner(name, server.name)
           if (owner === undefined) ownerless++
-          else if (trial.findRegion(owner) !== server.region) foreign++
+          else if (simulation.findRegion(owner) !== server.region) foreign++
         }
       }
     })
   }
   t.deepEqual([ownerless, foreign], [0, 0], 'servers without an owner, or with one that cannot reach them')
-  const north = members.names.filter(name => trial.findRegion(name) === 'north')
-  t.true(members.names.every(name => trial.acted.get(name)!.at(-1) === (north.includes(name) ? 7 : 1)))
-  t.true(members.names.every(name => trial.listSeen(name).length === SIZE / 2))
-  const healed = heal(trial)
+  const north = members.names.filter(name => simulation.findRegion(name) === 'north')
+  t.true(members.names.every(name => simulation.acted.get(name)!.at(-1) === (north.includes(name) ? 7 : 1)))
+  t.true(members.names.every(name => simulation.listLive(name).length === SIZE / 2))
+  const healed = heal(simulation)
   t.log(JSON.stringify({ quiet, ...healed }))
-  t.true(members.names.every(name => isSorted(trial.acted.get(name)!)))
+  t.true(members.names.every(name => isSorted(simulation.acted.get(name)!)))
   t.true(healed.configured > 0 && healed.configured <= 15 * SECOND, `the last daemon acted on the newest version after ${healed.configured} ms`)
   t.true(healed.whole > 0 && healed.whole <= 60 * SECOND, `all saw all after ${healed.whole} ms`)
   t.true(healed.calls <= quiet.calls * 3 + SIZE, `${healed.calls} calls of the platform in a minute, ${quiet.calls} in 20 quiet seconds`)
   t.true(healed.worstSecond <= 5_000 * SIZE, `${healed.worstSecond} bytes in the worst second`)
 })
 
-function measure (trial: RegionTrial, time: number): { readonly calls: number, readonly bytes: number } {
-  const [calls, bytes] = [trial.calls, trial.members.bytes + trial.versionBytes]
-  trial.run(time)
-  return { calls: trial.calls - calls, bytes: trial.members.bytes + trial.versionBytes - bytes }
+function measure (simulation: RegionSimulation, time: number): { readonly calls: number, readonly bytes: number } {
+  const [calls, bytes] = [simulation.calls, simulation.members.bytes + simulation.versionBytes]
+  simulation.run(time)
+  return { calls: simulation.calls - calls, bytes: simulation.members.bytes + simulation.versionBytes - bytes }
 }
 
 /** Measures the minute after the partition; times in ms, 0 for never. */
-function heal (trial: RegionTrial): { readonly configured: number, readonly whole: number, readonly calls: number, readonly worstSecond: number } {
-  const { members } = trial
-  const [start, calls] = [members.now, trial.calls]
+function heal (simulation: RegionSimulation): { readonly configured: number, readonly whole: number, readonly calls: number, readonly worstSecond: number } {
+  const { members } = simulation
+  const [start, calls] = [members.now, simulation.calls]
   let [configured, whole, worstSecond] = [0, 0, 0]
-  trial.cut = false
+  simulation.partitioned = false
   while (members.now < start + 60 * SECOND) {
-    const before = members.bytes + trial.versionBytes
-    trial.run(SECOND, () => {
-      if (configured === 0 && members.names.every(name => trial.acted.get(name)!.at(-1) === trial.platform.version)) configured = members.now - start
+    const before = members.bytes + simulation.versionBytes
+    simulation.run(SECOND, () => {
+      if (configured === 0 && members.names.every(name => simulation.acted.get(name)!.at(-1) === simulation.platform.version)) configured = members.now - start
       if (whole === 0 && members.names.every(name => members.agree(name, 'alive'))) whole = members.now - start
     })
-    worstSecond = Math.max(worstSecond, members.bytes + trial.versionBytes - before)
+    worstSecond = Math.max(worstSecond, members.bytes + simulation.versionBytes - before)
   }
-  return { configured, whole, calls: trial.calls - calls, worstSecond }
+  return { configured, whole, calls: simulation.calls - calls, worstSecond }
 }
--- a/test/coordination/spread-version.test.ts
+++ b/test/coordination/spread-version.test.ts
@@ -23,7 +23,7 @@
 interface Due { readonly at: number, readonly to: number, readonly event: VersionEvent<string> }
 
 /** A fleet on virtual time: frames take up to `LATENCY` ms, and a share of `LOSS` is lost. */
-class SpreadTrial {
+class SpreadSimulation {
   readonly random = new Random(5)
   readonly states: Array<VersionState<string>> = []
   readonly reached: number[] = []
@@ -50,7 +50,7 @@
       this.now = next.at
       const tick = next.event.type === 'tick'
       if (tick) this.add(this.now + TICK, next.to, next.event)
-      const event: VersionEvent<string> = tick ? { type: 'tick', peers: this.draw(TICK_PEERS) } : next.event
+      const event: VersionEvent<string> = tick ? { type: 'tick', peers: this.sample(TICK_PEERS) } : next.event
       const { state, effects } = stepVersion(this.states[next.to]!, event, this.now, options)
       this.states[next.to] = state
       for (const effect of effects) this.carryOut(next.to, effect, version)
@@ -59,7 +59,7 @@
 
   private carryOut (from: number, effect: VersionEffect<string>, version: number): void {
     if (effect.type === 'send') this.send(from, effect.to, effect.message)
-    if (effect.type === 'spread') for (const to of this.draw(SPREAD_PEERS)) this.send(from, to, effect.message)
+    if (effect.type === 'spread') for (const to of this.sample(SPREAD_PEERS)) this.send(from, to, effect.message)
     if (effect.type === 'act' && effect.head.version === version) this.reached.push(this.now)
   }
 
@@ -69,7 +69,7 @@
     if (this.random.next() >= LOSS) this.add(this.now + 1 + this.random.next() * LATENCY, Number(to), { type: 'message', from: `${from}`, message })
   }
 
-  private draw (count: number): string[] {
+  private sample (count: number): string[] {
     return Array.from({ length: count }, () => `${this.random.below(HOLDERS)}`)
   }
 }
@@ -77,15 +77,15 @@
 test('a change is in force at 380 daemons within 3 s, with one watch notified and one frame in twenty lost', t => {
   const hashes = Array.from({ length: PARTS }, (_, i) => `part-${i}`.padEnd(32, '0'))
   const part = hashes[7]!.replace('part', 'next') + PART
-  const trial = new SpreadTrial({ version: 1, parts: hashes, body: {} })
+  const simulation = new SpreadSimulation({ version: 1, parts: hashes, body: {} })
   const body = { changes: Array.from({ length: 30 }, () => ({ id: 'a'.repeat(36), basedOn: 1_000_000, at: 1_700_000_000_000, by: 'operator', files: ['caller-1234.yaml'], more: 0 })) }
   const head = { version: 2, parts: hashes.map((hash, i) => i === 7 ? options.hash(part) : hash), body }
-  trial.run(5 * SECOND, 2)
-  const quiet = trial.bytes.digest
-  trial.add(5 * SECOND, 0, { type: 'read head', head, parts: [part] })
-  trial.run(5 * SECOND + IN_FORCE, 2)
-  const times = trial.reached.map(at => at - 5 * SECOND)
-  const { digest, ...rest } = trial.bytes
+  simulation.run(5 * SECOND, 2)
+  const quiet = simulation.bytes.digest
+  simulation.add(5 * SECOND, 0, { type: 'read head', head, parts: [part] })
+  simulation.run(5 * SECOND + IN_FORCE, 2)
+  const times = simulation.reached.map(at => at - 5 * SECOND)
+  const { digest, ...rest } = simulation.bytes
   t.log(`last daemon after ${times.at(-1)?.toFixed()} ms, 95 in 100 after ${times[Math.floor(HOLDERS * 0.95)]?.toFixed()} ms`)
   t.log(`bytes sent a daemon: ${(quiet / HOLDERS / 5).toFixed()} a second when quiet; a change ${Object.entries(rest).map(([kind, bytes]) => `${kind} ${(bytes / HOLDERS).toFixed()}`).join(', ')}`)
   t.is(times.length, HOLDERS)
--- a/test/helpers/simulate-members.ts
+++ b/test/helpers/simulate-members.ts
@@ -10,7 +10,7 @@
 /** Length, seal and the envelope of a frame, and the headers of TCP and IP. */
 const FRAME_OVERHEAD = 4 + 8 + 8 + 40
 
-interface Letter { readonly at: number, readonly from: string, readonly to: string, readonly message: MembershipMessage }
+interface PendingMessage { readonly at: number, readonly from: string, readonly to: string, readonly message: MembershipMessage }
 
 /** Many members in a plain loop over their states, on virtual time, with messages lost as `loses` says. */
 export class MemberSimulation {
@@ -20,9 +20,9 @@
   readonly paused = new Set<string>()
   bytes = 0
   loses: (from: string, to: string) => boolean = () => false
-  private letters: Letter[] = []
+  private pending: PendingMessage[] = []
   private readonly random: Random
-  private runs = 1_000
+  private lastIncarnation = 1_000
 
   constructor (size: number, { seed = 1, measure = false } = {}) {
     this.random = new Random(seed)
@@ -39,16 +39,16 @@
 
   start (name: string): void {
     this.stopped.delete(name)
-    this.states.set(name, createMembership({ name, incarnation: this.runs += 1_000, data: dataOf(name), now: this.now }))
+    this.states.set(name, createMembership({ name, incarnation: this.lastIncarnation += 1_000, data: buildData(name), now: this.now }))
   }
 
   list (name: string): void {
-    this.step(name, { type: 'listed', members: [...this.states.keys()].map(name => ({ name, data: dataOf(name) })) })
+    this.step(name, { type: 'listed', members: [...this.states.keys()].map(name => ({ name, data: buildData(name) })) })
   }
 
-  thaw (name: string): void {
+  resume (name: string): void {
     this.paused.delete(name)
-    this.step(name, { type: 'paused', incarnation: this.runs += 1_000 })
+    this.step(name, { type: 'paused', incarnation: this.lastIncarnation += 1_000 })
   }
 
   step (name: string, event: MembershipEvent): void {
@@ -56,7 +56,7 @@
     this.states.set(name, state)
     for (const { to, message } of effects) {
       if (this.measure) this.bytes += FRAME_OVERHEAD + shortCodec.encode({ m: message }).length
-      if (!this.loses(name, to)) this.letters.push({ at: this.now + 1 + this.random.below(5), from: name, to, message })
+      if (!this.loses(name, to)) this.pending.push({ at: this.now + 1 + this.random.below(5), from: name, to, message })
     }
   }
 
@@ -83,9 +83,9 @@
   /** Messages within one tick, answers among them, in the order of their arrival. */
   private deliver (): void {
     for (;;) {
-      const due = this.letters.filter(({ at, to }) => at <= this.now + TICK && !this.paused.has(to))
+      const due = this.pending.filter(({ at, to }) => at <= this.now + TICK && !this.paused.has(to))
       if (due.length === 0) return
-      this.letters = this.letters.filter(letter => !due.includes(letter))
+      this.pending = this.pending.filter(message => !due.includes(message))
       for (const { from, to, message } of due.sort((a, b) => a.at - b.at)) {
         if (this.states.has(to) && !this.stopped.has(to)) this.step(to, { type: 'message', from, message })
       }
@@ -93,6 +93,6 @@
   }
 }
 
-function dataOf (name: string): Readonly<Record<string, string | number>> {
+function buildData (name: string): Readonly<Record<string, string | number>> {
   return { host: '10.20.30.40', port: 8080, peerPort: 8081, failureDomain: `domain-${name.length % 3}`, region: 'region-1' }
 }
--- a/test/helpers/simulate-regions.ts
+++ b/test/helpers/simulate-regions.ts
@@ -10,19 +10,19 @@
 import { shortCodec } from '../../src/peers/short-codec.js'
 import { MemberSimulation } from './simulate-members.js'
 
-const TICK_EVERY = 300
+const TICK_PERIOD = 300
 const TICK_PEERS = 2
 const SPREAD_PEERS = 4
 const WATCHERS = 2
-const WATCH_WAIT = 5_000
+const WATCH_TIMEOUT = 5_000
 const REGIONS = ['north', 'south']
 const options = { hash: (part: string) => part, size: (part: string) => part.length }
 
 interface Instance { readonly name: string, readonly region: string }
-interface Letter { readonly at: number, readonly to: string, readonly event: VersionEvent<string> }
+interface PendingEvent { readonly at: number, readonly to: string, readonly event: VersionEvent<string> }
 
 /** Two regions of daemons: the real membership, versions and owners of servers, on virtual time; the platform is in the north. */
-export class RegionTrial {
+export class RegionSimulation {
   readonly members: MemberSimulation
   readonly servers: readonly Instance[]
   /** Versions acted on, by daemon, in their order. */
@@ -31,16 +31,16 @@
   /** Calls of the platform, failed ones left out. */
   calls = 0
   versionBytes = 0
-  cut = false
+  partitioned = false
   private readonly versions = new Map<string, VersionState<string>>()
   private readonly tables = new Map<string, OwnerTable>()
   private readonly watching = new Map<string, { readonly since: number, readonly version: number }>()
   private readonly random = new Random(9)
-  private letters: Letter[] = []
+  private pending: PendingEvent[] = []
 
   constructor (size: number, servers: number) {
     this.members = new MemberSimulation(size, { measure: true })
-    this.members.loses = (from, to) => this.cut && this.findRegion(from) !== this.findRegion(to)
+    this.members.loses = (from, to) => this.partitioned && this.findRegion(from) !== this.findRegion(to)
     this.servers = Array.from({ length: servers }, (_, i) => ({ name: `server-${i}`, region: REGIONS[i % 2]! }))
     for (const name of this.members.names) {
       this.versions.set(name, createVersionState())
@@ -58,8 +58,8 @@
       this.deliver()
       for (const name of this.members.names) {
         this.watch(name)
-        if (this.members.now % TICK_EVERY === 0) this.step(name, { type: 'tick', peers: this.draw(name, TICK_PEERS) })
-        this.tables.get(name)!.update(this.servers, this.listSeen(name).map(name => ({ name, region: this.findRegion(name) })))
+        if (this.members.now % TICK_PERIOD === 0) this.step(name, { type: 'tick', peers: this.sample(name, TICK_PEERS) })
+        this.tables.get(name)!.update(this.servers, this.listLive(name).map(name => ({ name, region: this.findRegion(name) })))
       }
       onTick()
     })
@@ -71,19 +71,19 @@
   }
 
   /** Daemons that `daemon` doesn't hold for dead. */
-  listSeen (daemon: string): readonly string[] {
+  listLive (daemon: string): readonly string[] {
     return this.members.names.filter(name => name === daemon || ['alive', 'suspect'].includes(this.members.see(daemon, name)))
   }
 
   private watch (name: string): void {
     const region = this.findRegion(name)
-    const near = this.listSeen(name).filter(other => this.findRegion(other) === region)
+    const regionMembers = this.listLive(name).filter(other => this.findRegion(other) === region)
     const known = this.watching.get(name)
-    if (!rankOwners(region, near).slice(0, WATCHERS).includes(name) || (this.cut && region !== REGIONS[0])) {
+    if (!rankOwners(region, regionMembers).slice(0, WATCHERS).includes(name) || (this.partitioned && region !== REGIONS[0])) {
       this.watching.delete(name)
       return
     }
-    if (known !== undefined && known.version === this.platform.version && this.members.now < known.since + WATCH_WAIT) return
+    if (known !== undefined && known.version === this.platform.version && this.members.now < known.since + WATCH_TIMEOUT) return
     this.calls++
     this.watching.set(name, { since: this.members.now, version: this.platform.version })
     this.step(name, { type: 'read head', head: this.platform })
@@ -100,29 +100,29 @@
       case 'act': this.acted.get(name)!.push(effect.head.version); break
       case 'read parts': this.readParts(name, effect.hashes); break
       case 'send': this.send(name, effect.to, effect.message); break
-      case 'spread': for (const to of this.draw(name, SPREAD_PEERS)) this.send(name, to, effect.message)
+      case 'spread': for (const to of this.sample(name, SPREAD_PEERS)) this.send(name, to, effect.message)
     }
   }
 
   private readParts (name: string, parts: readonly string[]): void {
-    if (this.cut && this.findRegion(name) !== REGIONS[0]) return
+    if (this.partitioned && this.findRegion(name) !== REGIONS[0]) return
     this.calls += parts.length
-    this.letters.push({ at: this.members.now + 1, to: name, event: { type: 'read parts', parts } })
+    this.pending.push({ at: this.members.now + 1, to: name, event: { type: 'read parts', parts } })
   }
 
   private send (from: string, to: string, message: Extract<VersionEvent<string>, { type: 'message' }>['message']): void {
     this.versionBytes += shortCodec.encode({ m: message }).length
-    if (!this.members.loses(from, to)) this.letters.push({ at: this.members.now + 1, to, event: { type: 'message', from, message } })
+    if (!this.members.loses(from, to)) this.pending.push({ at: this.members.now + 1, to, event: { type: 'message', from, message } })
   }
 
   private deliver (): void {
-    const due = this.letters.filter(({ at }) => at <= this.members.now)
-    this.letters = this.letters.filter(letter => !due.includes(letter))
+    const due = this.pending.filter(({ at }) => at <= this.members.now)
+    this.pending = this.pending.filter(event => !due.includes(event))
     for (const { to, event } of due) this.step(to, event)
   }
 
-  private draw (name: string, count: number): string[] {
-    const others = this.listSeen(name).filter(other => other !== name)
+  private sample (name: string, count: number): string[] {
+    const others = this.listLive(name).filter(other => other !== name)
     return Array.from({ length: Math.min(count, others.length) }, () => others.splice(this.random.below(others.length), 1)[0]!)
   }
 }
--- a/test/ownership/helpers/order-trial.ts
+++ b/test/ownership/helpers/order-harness.ts
@@ -18,7 +18,7 @@
 interface ReceivedOrder { readonly server: string, readonly order: any }
 
 /** The orders of one daemon on virtual time, to HTTP servers that record orders without applying them. */
-export class OrderTrial {
+export class OrderHarness {
   readonly store = new MemoryStore()
   readonly received: ReceivedOrder[] = []
   stateReads = 0
