--- a/test/helpers/simulate-members.ts
+++ b/test/helpers/simulate-members.ts
@@ -7,12 +7,12 @@
 import { shortCodec } from '../../src/peers/short-codec.js'
 
 const TICK = 100
-/** Length, seal and the envelope of a frame, and the headers of TCP and IP. */
+/** Bytes per frame in addition to its message: length, seal, envelope, and the TCP and IP headers. */
 const FRAME_OVERHEAD = 4 + 8 + 8 + 40
 
 interface PendingMessage { readonly at: number, readonly from: string, readonly to: string, readonly message: MembershipMessage }
 
-/** Many members in a plain loop over their states, on virtual time, with messages lost as `loses` says. */
+/** Simulates many members on virtual time, in a plain loop over their states; `loses` decides which messages are lost. */
 export class MemberSimulation {
   now = 0
   readonly states = new Map<string, MembershipState>()
@@ -42,6 +42,7 @@
     this.states.set(name, createMembership({ name, incarnation: this.lastIncarnation += 1_000, data: buildData(name), now: this.now }))
   }
 
+  /** Gives the member a list of all members. */
   list (name: string): void {
     this.step(name, { type: 'listed', members: [...this.states.keys()].map(name => ({ name, data: buildData(name) })) })
   }
@@ -69,18 +70,18 @@
     }
   }
 
-  /** How `by` sees `of`. */
+  /** Returns the status of `of` by the view of `by`. */
   see (by: string, of: string): string {
     const record = this.states.get(by)!.members.get(of)
     return record?.status ?? 'unknown'
   }
 
-  /** Whether every running member sees `of` as `status`. */
+  /** Whether every running member other than `of` sees it as one of `statuses`. */
   agree (of: string, ...statuses: string[]): boolean {
     return this.names.every(name => name === of || this.paused.has(name) || statuses.includes(this.see(name, of)))
   }
 
-  /** Messages within one tick, answers among them, in the order of their arrival. */
+  /** Delivers the messages due within one tick, including the answers to them, in order of arrival. */
   private deliver (): void {
     for (;;) {
       const due = this.pending.filter(({ at, to }) => at <= this.now + TICK && !this.paused.has(to))
--- a/test/helpers/simulate-regions.ts
+++ b/test/helpers/simulate-regions.ts
@@ -21,14 +21,17 @@
 interface Instance { readonly name: string, readonly region: string }
 interface PendingEvent { readonly at: number, readonly to: string, readonly event: VersionEvent<string> }
 
-/** Two regions of daemons: the real membership, versions and owners of servers, on virtual time; the platform is in the north. */
+/**
+ * Simulates two regions of daemons on virtual time, with the real membership, versions and server ownership; the store
+ * is in the north.
+ */
 export class RegionSimulation {
   readonly members: MemberSimulation
   readonly servers: readonly Instance[]
-  /** Versions acted on, by daemon, in their order. */
+  /** Versions acted on, in order, by daemon. */
   readonly acted = new Map<string, number[]>()
   platform: VersionHead = { version: 1, parts: ['part-1'], body: {} }
-  /** Calls of the platform, failed ones left out. */
+  /** Successful calls to the store. */
   calls = 0
   versionBytes = 0
   partitioned = false
@@ -65,12 +68,12 @@
     })
   }
 
-  /** Who owns `server`, as `daemon` sees it. */
+  /** Returns the owner of `server` by the view of `daemon`. */
   findOwner (daemon: string, server: string): string | undefined {
     return this.tables.get(daemon)!.find(server)
   }
 
-  /** Daemons that `daemon` doesn't hold for dead. */
+  /** Returns the running daemons that `daemon` doesn't consider dead. */
   listLive (daemon: string): readonly string[] {
     return this.members.names.filter(name => name === daemon || ['alive', 'suspect'].includes(this.members.see(daemon, name)))
   }
