--- a/src/coordination/advance-membership.ts
+++ b/src/coordination/advance-membership.ts
@@ -1,15 +1,18 @@
 import { membershipMessages } from './build-membership-message.js'
 import type { MembershipContext as Context } from './membership-context.js'
-import { membershipMoves } from './membership-moves.js'
+import { membershipOperations } from './membership-operations.js'
 import type { MembershipState } from './membership-state.js'
 import type { MembershipStep as Step } from './membership-step.js'
 
-/** One tick in this many also pings a dead member that the list still knows: a healed cut is noticed by it. */
-const REVIVE_ONE_IN = 25
+/** One tick in this many also pings a listed member that counts as dead, so that a healed partition is noticed. */
+const PING_DEAD_ONE_IN = 25
 
-const { buildStep, sendTo, listOthers, chooseSome, setRecord } = membershipMoves
+const { buildStep, sendTo, listOthers, chooseSome, setRecord } = membershipOperations
 
-/** One delay of our own loop must not look like the silence of others: what they sent still waits in our sockets. */
+/**
+ * Moves all deadlines after a delay of this process's own event loop: messages that others sent meanwhile are still
+ * unread in its sockets.
+ */
 function advanceDeadlines (state: MembershipState, { now, options }: Context): MembershipState {
   const gap = now - state.tickedAt
   if (gap <= options.lateAfter) return { ...state, tickedAt: now }
@@ -18,8 +21,8 @@
 }
 
 /**
- * What a member does as time passes: judges what has gone unanswered, asks others to probe for it, probes the next
- * one, and tries now and then whether one that it holds for dead is back.
+ * Handles the passage of time: checks unanswered probes, asks other members to probe their targets, probes the next
+ * member and occasionally pings one that counts as dead.
  */
 export function advanceMembership (state: MembershipState, context: Context): Step {
   let step: Step = buildStep(checkMembers(advanceDeadlines(state, context), context))
@@ -30,11 +33,11 @@
   add(askHelpers)
   add(endProbes)
   add(beginProbe)
-  add(askListed)
+  add(askDeadMember)
   return step
 }
 
-/** Suspects that didn't refute in time are dead; the dead are forgotten in the end. */
+/** Marks suspects that didn't refute in time as dead, and removes members that have been dead for long. */
 function checkMembers (state: MembershipState, { now, options }: Context): MembershipState {
   const deadAfter = options.deadAfter * Math.max(1, Math.log10(state.members.size))
   let next = state
@@ -43,8 +46,8 @@
     if (record.status === 'suspect' && now - record.since >= deadAfter) next = setRecord(next, { ...record, status: 'dead', since: now })
     if (record.status === 'dead' && now - record.since >= options.forgetAfter) next = removeMember(next, record.name)
   }
-  const unheard = [...next.members.values()].some(({ incarnation, status }) => incarnation === 0 && status !== 'dead')
-  return next.settled || unheard ? next : { ...next, settled: true }
+  const unconfirmed = [...next.members.values()].some(({ incarnation, status }) => incarnation === 0 && status !== 'dead')
+  return next.settled || unconfirmed ? next : { ...next, settled: true }
 }
 
 function removeMember (state: MembershipState, name: string): MembershipState {
@@ -79,7 +82,7 @@
   return buildStep(next)
 }
 
-/** Probes all in turn, in a new random order each round: each is probed in every round, whatever its luck. */
+/** Probes all members in turn, in a new random order each round, so that each is probed once a round. */
 function beginProbe (state: MembershipState, context: Context): Step {
   const { now, random, options } = context
   if (now - state.probedAt < options.probeEvery) return buildStep(state)
@@ -92,8 +95,8 @@
   return sendTo({ ...state, round: round.slice(1), sequence: n, probes, probedAt: now }, target, 'ping', n, context)
 }
 
-function askListed (state: MembershipState, context: Context): Step {
-  if (context.random.below(REVIVE_ONE_IN) > 0) return buildStep(state)
+function askDeadMember (state: MembershipState, context: Context): Step {
+  if (context.random.below(PING_DEAD_ONE_IN) > 0) return buildStep(state)
   const dead = listOthers(state, ['dead']).filter(name => state.listed.has(name))
   const [target] = chooseSome(dead, 1, context.random)
   return target === undefined ? buildStep(state) : sendTo(state, target, 'ping', 0, context)
--- a/src/coordination/membership.ts
+++ b/src/coordination/membership.ts
@@ -9,24 +9,24 @@
 import type { MembershipState } from './membership-state.js'
 import type { MembershipContext as Context } from './membership-context.js'
 import { membershipDefaults } from './membership-defaults.js'
-import { membershipMoves } from './membership-moves.js'
+import { membershipOperations } from './membership-operations.js'
 import type { MembershipStep as Step } from './membership-step.js'
 import { mergeRecords } from './merge-records.js'
 import { advanceMembership } from './advance-membership.js'
 
-const { buildStep, sendTo, listOthers, chooseSome, setRecord } = membershipMoves
+const { buildStep, sendTo, listOthers, chooseSome, setRecord } = membershipOperations
 
 const JOIN_FANOUT = 3
 
 /**
- * Membership by random probes (SWIM): what a member sends and does doesn't grow with their number. Given the state,
- * an event, monotonic `now` in ms and a source of randomness, gives the next state and the messages to send; any of
- * those may be lost. It does no I/O and throws nothing.
+ * Returns the next state of a member and the messages to send, any of which may be lost. Membership by random probes
+ * (SWIM): the load of a member doesn't grow with their number. `now` is in monotonic ms. Does no I/O and throws
+ * nothing.
  *
- * A live member that can be reached is never dead for long: it hears of the suspicion from the first who probes it
- * and refutes it by a new incarnation. A dead one is dropped by all, and comes back only in a new incarnation.
+ * A live, reachable member doesn't stay dead: it learns of a suspicion from the first member that probes it and refutes
+ * it by a new incarnation. A dead member is dropped by all, and returns only in a new incarnation.
  *
- * Source: Das, Gupta and Motivala, "SWIM", 2002; the delay of one's own loop after Dadgar et al., "Lifeguard", 2017.
+ * Source: Das, Gupta and Motivala, "SWIM", 2002; handling of local delays after Dadgar et al., "Lifeguard", 2017.
  *
  * @example
  * let state = createMembership({ name: 'entry-0', incarnation: Date.now(), data: { host: '10.0.0.1' }, now: clock.now() })
@@ -43,8 +43,8 @@
   switch (event.type) {
     case 'tick': return advanceMembership(state, context)
     case 'message': return handleMessage(state, event.from, event.message, context)
-    case 'listed': return takeList(state, event.members, context)
-    case 'paused': return dropBeliefs(state, event.incarnation, context)
+    case 'listed': return applyList(state, event.members, context)
+    case 'paused': return dropView(state, event.incarnation, context)
     case 'ended': return buildStep(dropEnded(state, event, context))
     case 'updated': return updateSelf(state, { data: event.data }, context)
     case 'leave': return updateSelf(state, { leaving: true }, context)
@@ -61,21 +61,21 @@
 function updateSelf (state: MembershipState, change: Partial<MemberRecord>, context: Context): Step {
   const self = state.members.get(state.self)!
   const next = setRecord(state, { ...self, ...change, incarnation: self.incarnation + 1, since: context.now })
-  return tellAll(next, context)
+  return sendToAll(next, context)
 }
 
 /**
- * Tells every other member at once: news of oneself are rare, and at 380 members they are 380 small messages. The
- * answers carry the new `sequence`, so that the caller can wait until all know.
+ * Sends the member's own record to all others at once, as its changes are rare. The answers carry the new `sequence`,
+ * so that the caller can wait until all have it.
  */
-function tellAll (state: MembershipState, context: Context): Step {
+function sendToAll (state: MembershipState, context: Context): Step {
   const self = state.members.get(state.self)!
   const n = state.sequence + 1
   const message: MembershipMessage = { type: 'ping', n, i: self.incarnation, h: membershipMessages.hashMembers(state.members), u: [membershipMessages.copyRecord(self)] }
   return { state: { ...state, sequence: n }, effects: listOthers(state, ['alive', 'suspect']).map(to => ({ to, message })) }
 }
 
-function takeList (state: MembershipState, listed: Extract<MembershipEvent, { type: 'listed' }>['members'], context: Context): Step {
+function applyList (state: MembershipState, listed: Extract<MembershipEvent, { type: 'listed' }>['members'], context: Context): Step {
   const others = listed.filter(({ name }) => name !== state.self)
   const fresh = others.filter(({ name }) => !state.members.has(name))
   const members = new Map(state.members)
@@ -86,8 +86,11 @@
   return { state: { ...next, settled: state.settled && state.members.size > 1 }, effects: asked.map(to => sendState(next, to, true)) }
 }
 
-/** What it believed of the others may have lapsed: they are known by name only, until they are heard again. */
-function dropBeliefs (state: MembershipState, incarnation: number, context: Context): Step {
+/**
+ * Drops the view of the other members after a pause, as it may be outdated: they are known by name only until they
+ * answer.
+ */
+function dropView (state: MembershipState, incarnation: number, context: Context): Step {
   const { now, random } = context
   const members = new Map([...state.members].map(([name, record]) => {
     if (name === state.self) return [name, { ...record, incarnation, since: now }]
@@ -98,7 +101,10 @@
   return { state: next, effects: chooseSome(listOthers(next, ['alive']), JOIN_FANOUT, random).map(to => sendState(next, to, true)) }
 }
 
-/** Whoever has started anew meanwhile has another incarnation, of which the end says nothing. */
+/**
+ * Marks a member as dead whose process has ended. A member that has restarted meanwhile has another incarnation and is
+ * kept.
+ */
 function dropEnded (state: MembershipState, { name, incarnation }: Extract<MembershipEvent, { type: 'ended' }>, { now }: Context): MembershipState {
   const record = state.members.get(name)
   if (name === state.self || record === undefined || record.status === 'dead' || record.incarnation !== incarnation) return state
@@ -115,12 +121,15 @@
     case 'who': return sendTo(setRecord(merged, merged.members.get(merged.self)!), from, 'ack', 0, context)
     case 'ping': return addSync(sendTo(merged, from, 'ack', message.n, context), from, message, context)
     case 'ask': return relayProbe(merged, from, message, context)
-    case 'ack': return addSync(takeAnswer(merged, message.n, context), from, message, context)
+    case 'ack': return addSync(handleAck(merged, message.n, context), from, message, context)
     default: return failUnreachable(message)
   }
 }
 
-/** Asks one whose incarnation it doesn't know, and sends its whole view, now and then, to one that sees another one. */
+/**
+ * Requests the record of a member whose incarnation isn't known, and sends the full state, at most every `syncEvery`,
+ * to one whose view differs.
+ */
 function addSync (step: Step, from: string, { i, h }: { readonly i: number, readonly h: number }, { now, options }: Context): Step {
   const unknown = (step.state.members.get(from)?.incarnation ?? 0) < i
   if (unknown) return { state: step.state, effects: [...step.effects, { to: from, message: { type: 'who', u: [] } }] }
@@ -134,7 +143,7 @@
   return sendTo({ ...state, sequence: n, relays }, of, 'ping', n, context)
 }
 
-function takeAnswer (state: MembershipState, n: number, context: Context): Step {
+function handleAck (state: MembershipState, n: number, context: Context): Step {
   const relay = state.relays.find(relay => relay.n === n)
   const next = { ...state, probes: state.probes.filter(probe => probe.n !== n), relays: state.relays.filter(relay => relay.n !== n) }
   return relay === undefined ? buildStep(next) : sendTo(next, relay.to, 'ack', relay.toN, context)
--- a/src/coordination/step-version.ts
+++ b/src/coordination/step-version.ts
@@ -4,18 +4,21 @@
 import type { VersionMessage } from './version-message.js'
 import type { VersionState } from './version-state.js'
 
-/** How parts are told apart and measured, and the waits of the exchange. Times in ms, sizes in bytes. */
+/** How parts are identified and measured, and the timing of the exchange. Times in ms, sizes in bytes. */
 interface VersionOptions<Part> {
-  /** Content hash of a part. A part whose hash isn't the one asked for is dropped. */
+  /** Content hash of a part. A part without a requested hash is dropped. */
   readonly hash: (part: Part) => string
   readonly size: (part: Part) => number
-  /** After this long without an answer it is asked again, by turns of the same and of somebody else. */
+  /** Time without an answer after which a request is repeated, alternately to the same holder and another. */
   readonly askTimeout?: number
-  /** How often the drawn peers are told our version. Ticks may come more often, and then ask again sooner. */
+  /**
+   * How often the version is sent to the sampled peers. Ticks may be more frequent, so that requests are repeated
+   * sooner.
+   */
   readonly digestPeriod?: number
   /** Most bytes of parts in one message; at least one part is sent. */
   readonly messageBytes?: number
-  /** A holder that reads a head in the store fetches up to this many missing parts there, more from its peers. */
+  /** A holder that reads a head from the store fetches up to this many missing parts there, and more from its peers. */
   readonly storeParts?: number
 }
 
@@ -27,18 +30,18 @@
 const DIGEST_PERIOD = 1_000
 const MESSAGE_BYTES = 400_000
 const STORE_PARTS = 8
-const ASKED_PARTS = 200
+const MAX_ASKED_PARTS = 200
 
 /**
- * Spreads a versioned configuration: a head, swapped by conditional update in a store, and content-addressed parts.
- * Guarantees that the version acted on never goes down, whatever order, repetition or age of messages and reads, and
- * that a version is acted on only when all its parts are there with their right hashes. While ticks go on and some
- * holder that knows the highest version can be reached, each other holder reaches it; a lost message costs a tick.
+ * Distributes a versioned configuration: a head, swapped in a store by conditional update, and content-addressed parts.
+ * The version acted on never decreases, whatever the order, repetition or age of messages and reads, and a version is
+ * acted on only when all its parts are present with the right hashes. While ticks continue and some holder of the
+ * highest version can be reached, every other holder reaches that version; a lost message costs one tick.
  *
- * Errors: none; what can't be used is dropped, and asked for again at a later tick. `now` is monotonic ms.
+ * It has no errors: unusable input is dropped, and requested again at a later tick. `now` is monotonic ms.
  *
- * Source: rumour mongering with anti-entropy, Demers et al., "Epidemic algorithms for replicated database
- * maintenance", 1987.
+ * Source: rumour mongering with anti-entropy, Demers et al., "Epidemic algorithms for replicated database maintenance",
+ * 1987.
  *
  * @example
  * let state = createVersionState<string>()
@@ -49,20 +52,20 @@
   const all = { askTimeout: ASK_TIMEOUT, digestPeriod: DIGEST_PERIOD, messageBytes: MESSAGE_BYTES, storeParts: STORE_PARTS, ...options }
   switch (event.type) {
     case 'message': return handleMessage(state, event.from, event.message, now, all)
-    case 'read head': return takeHead(state, event.head, { parts: event.parts }, now, all)
-    case 'read parts': return takeParts(state, event.parts, undefined, now, all)
-    case 'tick': return runTick({ ...state, peers: event.peers }, now, all)
+    case 'read head': return handleHead(state, event.head, { parts: event.parts }, now, all)
+    case 'read parts': return handleParts(state, event.parts, undefined, now, all)
+    case 'tick': return handleTick({ ...state, peers: event.peers }, now, all)
   }
 }
 
 function handleMessage<Part> (state: VersionState<Part>, from: string, message: VersionMessage<Part>, now: number, options: Options<Part>): Step<Part> {
   const send = (answer: VersionMessage<Part>): Step<Part> => ({ state, effects: [{ type: 'send', to: from, message: answer }] })
   switch (message.type) {
-    case 'digest': return takeDigest(state, from, message.version, now, options)
+    case 'digest': return handleDigest(state, from, message.version, now, options)
     case 'ask head': return state.head === undefined ? createStep(state) : send({ type: 'head', head: state.head })
-    case 'head': return takeHead(state, message.head, { from }, now, options)
-    case 'ask parts': return send({ type: 'parts', parts: choose(state, message.hashes, options) })
-    case 'parts': return takeParts(state, message.parts, from, now, options)
+    case 'head': return handleHead(state, message.head, { from }, now, options)
+    case 'ask parts': return send({ type: 'parts', parts: chooseParts(state, message.hashes, options) })
+    case 'parts': return handleParts(state, message.parts, from, now, options)
   }
 }
 
@@ -70,8 +73,11 @@
   return { state, effects: [] }
 }
 
-/** A peer that is behind gets our version in return, so that a paused holder catches up at its first word. */
-function takeDigest<Part> (state: VersionState<Part>, from: string, version: number, now: number, { askTimeout }: Options<Part>): Step<Part> {
+/**
+ * Handles a peer's version. A peer with an older one gets this holder's in return, so that one that was paused catches
+ * up by its first message.
+ */
+function handleDigest<Part> (state: VersionState<Part>, from: string, version: number, now: number, { askTimeout }: Options<Part>): Step<Part> {
   const own = state.head?.version ?? 0
   if (version < own) return { state, effects: [{ type: 'send', to: from, message: { type: 'digest', version: own } }] }
   if (version <= (state.target?.version ?? own)) return createStep(state)
@@ -79,8 +85,8 @@
   return { state: { ...state, asked: { version, from, at: now } }, effects: [{ type: 'send', to: from, message: { type: 'ask head' } }] }
 }
 
-/** An old read of the store or a late message has a lower version than one known, and ends here. */
-function takeHead<Part> (state: VersionState<Part>, head: VersionHead, { from, parts = [] }: { readonly from?: string, readonly parts?: readonly Part[] }, now: number, options: Options<Part>): Step<Part> {
+/** Handles a head. A version that isn't higher than the known one, from an old read or a late message, is ignored. */
+function handleHead<Part> (state: VersionState<Part>, head: VersionHead, { from, parts = [] }: { readonly from?: string, readonly parts?: readonly Part[] }, now: number, options: Options<Part>): Step<Part> {
   if (head.version <= (state.target?.version ?? state.head?.version ?? 0)) return createStep(state)
   const known = new Map([...parts.map(part => [options.hash(part), part] as const), ...state.parts])
   const next: VersionState<Part> = { ...state, parts: known, target: head, fetched: { at: now, tries: 0 } }
@@ -90,7 +96,7 @@
   return { state: next, effects: [askForParts(missing, peer)] }
 }
 
-function takeParts<Part> (state: VersionState<Part>, parts: readonly Part[], from: string | undefined, now: number, { hash }: Options<Part>): Step<Part> {
+function handleParts<Part> (state: VersionState<Part>, parts: readonly Part[], from: string | undefined, now: number, { hash }: Options<Part>): Step<Part> {
   const missing = new Set(listMissing(state))
   const wanted = parts.map(part => [hash(part), part] as const).filter(([key]) => missing.has(key))
   if (wanted.length === 0) return createStep(state)
@@ -99,17 +105,17 @@
   return left.length === 0 ? applyTarget(next) : { state: next, effects: [askForParts(left, from)] }
 }
 
-/** Tells the drawn peers our version, and asks again for what didn't come. */
-function runTick<Part> (state: VersionState<Part>, now: number, { askTimeout, digestPeriod }: Options<Part>): Step<Part> {
-  const tell = now - state.told >= digestPeriod
+/** Sends the version to the sampled peers and repeats unanswered requests. */
+function handleTick<Part> (state: VersionState<Part>, now: number, { askTimeout, digestPeriod }: Options<Part>): Step<Part> {
+  const isDigestDue = now - state.digestSentAt >= digestPeriod
   const version = state.head?.version ?? 0
-  const digests = tell ? state.peers.map(to => ({ type: 'send' as const, to, message: { type: 'digest' as const, version } })) : []
-  const next = tell ? { ...state, told: now } : state
+  const digests = isDigestDue ? state.peers.map(to => ({ type: 'send' as const, to, message: { type: 'digest' as const, version } })) : []
+  const next = isDigestDue ? { ...state, digestSentAt: now } : state
   const again = state.target === undefined ? askHeadAgain(next, now, askTimeout) : askPartsAgain(next, now, askTimeout)
   return { state: again.state, effects: [...digests, ...again.effects] }
 }
 
-/** A question or its answer was lost: the version heard of is still not known. */
+/** Repeats a lost request for the head, or one whose answer was lost. */
 function askHeadAgain<Part> (state: VersionState<Part>, now: number, askTimeout: number): Step<Part> {
   const { version, from, at } = state.asked
   if (version <= (state.head?.version ?? 0) || from === undefined || now - at < askTimeout) return createStep(state)
@@ -139,12 +145,12 @@
 }
 
 function askForParts<Part> (missing: readonly string[], peer: string | undefined): VersionEffect<Part> {
-  const hashes = missing.slice(0, ASKED_PARTS)
+  const hashes = missing.slice(0, MAX_ASKED_PARTS)
   return peer === undefined ? { type: 'read parts', hashes } : { type: 'send', to: peer, message: { type: 'ask parts', hashes } }
 }
 
-/** The parts asked for that we have, as many as fit in one message; the asker asks again for the rest. */
-function choose<Part> (state: VersionState<Part>, hashes: readonly string[], { size, messageBytes }: Options<Part>): readonly Part[] {
+/** Returns the requested parts that are present, as many as fit into one message; the peer requests the rest again. */
+function chooseParts<Part> (state: VersionState<Part>, hashes: readonly string[], { size, messageBytes }: Options<Part>): readonly Part[] {
   const chosen: Part[] = []
   let bytes = 0
   for (const hash of hashes) {
--- a/src/ownership/server-orders.ts
+++ b/src/ownership/server-orders.ts
@@ -17,26 +17,29 @@
 import { ServerOwners } from './server-owners.js'
 import type { ServerState } from './server-state.js'
 
-const PERIOD = 500
-/** An order that hasn't been answered is given up; `longestAction` of the claims allows for it. */
+const RECONCILE_PERIOD = 500
+/** Timeout of an order, ms; must be less than `longestAction` of the claims. */
 const ORDER_TIMEOUT = 1_500
 const STATE_TIMEOUT = 400
-/** Loads over the fleet at once. */
-const LOADS_AT_ONCE = 2
-/** A slot that is lost, with a daemon or a reply, stops other loads for at most this long; a load claims it anew before. */
-const SLOT_KEEP = 6_000
+/** Most loads over the fleet at once. */
+const MAX_LOADS = 2
+/**
+ * How long a slot is held without renewal, ms; a slot lost by a crash or a lost reply blocks other loads for at most
+ * this time.
+ */
+const SLOT_DURATION = 6_000
 
 /**
- * Brings the servers that this daemon owns to what the configuration wants of them: reads what each has, and orders
- * the difference, one order at a time. An order carries the fencing number of a freshly proven claim; to servers
- * that don't check it, none goes out before an earlier owner's last one must have arrived.
+ * Reconciles the servers that this daemon owns with their configured placement: reads the state of each and sends one
+ * order at a time. An order carries the fencing number of a freshly proven claim; to servers that don't check it, no
+ * order is sent before the last one of an earlier owner must have arrived.
  */
 @scoped(Lifecycle.ContainerScoped)
 export class ServerOrders implements Part {
-  private readonly agent = new Agent({ connections: 1, keepAliveTimeout: PERIOD, keepAliveMaxTimeout: PERIOD })
+  private readonly agent = new Agent({ connections: 1, keepAliveTimeout: RECONCILE_PERIOD, keepAliveMaxTimeout: RECONCILE_PERIOD })
   private readonly slots: LoadSlots
   private readonly busy = new Set<string>()
-  /** Owned servers whose slots for loads an earlier owner may have left. */
+  /** Owned servers whose load slots have been taken over from any earlier owner. */
   private readonly adopted = new Set<string>()
   private cancel = (): void => {}
 
@@ -49,11 +52,11 @@
     @inject(tokens.store) store: ObjectStore,
     @inject(tokens.clock) private readonly clock: Clock
   ) {
-    this.slots = new LoadSlots({ store, date: () => clock.date(), count: LOADS_AT_ONCE, keep: SLOT_KEEP })
+    this.slots = new LoadSlots({ store, date: () => clock.date(), count: MAX_LOADS, duration: SLOT_DURATION })
   }
 
   async start (): Promise<void> {
-    this.cancel = this.clock.every(PERIOD, () => this.visitAll())
+    this.cancel = this.clock.every(RECONCILE_PERIOD, () => this.reconcileAll())
   }
 
   async stop (): Promise<void> {
@@ -61,12 +64,12 @@
     await this.agent.destroy()
   }
 
-  private visitAll (): void {
+  private reconcileAll (): void {
     const owned = this.owners.listOwned()
     for (const server of this.adopted) if (!owned.includes(server)) this.forget(server)
     for (const instance of this.list.all) {
       const { value } = this.configuration
-      if (value.placement?.[instance.pool] !== undefined && owned.includes(instance.name) && !this.busy.has(instance.name)) void this.visit(instance, value)
+      if (value.placement?.[instance.pool] !== undefined && owned.includes(instance.name) && !this.busy.has(instance.name)) void this.reconcile(instance, value)
     }
   }
 
@@ -80,14 +83,14 @@
     return this.adopted.has(server)
   }
 
-  private async visit (instance: Instance, configuration: Configuration): Promise<void> {
+  private async reconcile (instance: Instance, configuration: Configuration): Promise<void> {
     this.busy.add(instance.name)
     const state = await this.adopt(instance.name) ? await this.readState(instance) : undefined
-    if (state !== undefined) await this.bringNearer(instance, configuration, state)
+    if (state !== undefined) await this.applyPlacement(instance, configuration, state)
     this.busy.delete(instance.name)
   }
 
-  private async bringNearer (instance: Instance, configuration: Configuration, state: ServerState): Promise<void> {
+  private async applyPlacement (instance: Instance, configuration: Configuration, state: ServerState): Promise<void> {
     const { name } = instance
     const placement = configuration.placement![instance.pool]!
     const order = planOrder(placement, state)
@@ -96,10 +99,10 @@
       else await this.slots.release(name)
       return
     }
-    // A slot that waits for its owner's claim to settle keeps settled owners of other servers from loading meanwhile.
+    // A slot claimed before the ownership claim settles would block settled owners of other servers.
     if (!this.owners.isSettled(name, placement.checksFencing)) return
     if (order.kind === 'load' && !await this.slots.claim(name)) return
-    // The proof comes with the store's reply; the next visit finds it.
+    // The proof arrives with the store's reply; the next reconciliation uses it.
     if (this.owners.getAuthority(name, placement.checksFencing) === undefined) return this.owners.confirm(name, placement.checksFencing)
     if (!await this.isCurrent(configuration)) return
     const fencing = this.owners.getAuthority(name, placement.checksFencing)
@@ -107,9 +110,9 @@
   }
 
   /**
-   * Whether the configuration is the one accepted last. A daemon that was frozen claims its servers anew, under higher
-   * fencing numbers than anybody's, before it has heard what changed meanwhile; by its old configuration it then unloads
-   * what operators have ordered, and no server refuses that. One read of the platform an order rules it out.
+   * Whether the configuration is the last accepted one, by a read of the store. A daemon that was paused claims its
+   * servers again, under the highest fencing numbers, possibly before it has received the current configuration.
+   * Servers wouldn't refuse its outdated orders.
    */
   private async isCurrent ({ version }: Configuration): Promise<boolean> {
     const manifest = await this.objects.readManifest('background')
--- a/test/ownership/old-configuration.test.ts
+++ b/test/ownership/old-configuration.test.ts
@@ -1,20 +1,19 @@
 import 'reflect-metadata'
 import test from 'ava'
-import { OrderTrial } from './helpers/order-trial.js'
+import { OrderHarness } from './helpers/order-harness.js'
 
-// What operators see: a placement that stays as they set it last. A daemon that was frozen has claimed a server anew, so
-// that its orders carry the highest fencing number, but hasn't heard of the configuration that was accepted meanwhile.
-// It must not order by the one that it knows; once it knows the last one, it orders.
+// A daemon that was paused has claimed a server again, under the highest fencing number, but hasn't received the
+// configuration accepted meanwhile. It must not order by its old one, which would revert the operators' change.
 test('an owner orders by the configuration accepted last, or not at all', async t => {
-  const trial = new OrderTrial(t)
-  await trial.addServer('a', 'new')
-  const old = await trial.accept(0)
-  const last = await trial.accept(old)
-  trial.place(old, 'old')
-  await trial.start({ listOwned: () => ['a'], isSettled: () => true, getAuthority: () => 9, confirm: () => {} })
-  await trial.visitUntil(() => trial.visits > 3)
-  t.deepEqual(trial.taken, [])
-  trial.place(last, 'newer')
-  await trial.visitUntil(() => trial.taken.length > 0)
-  t.deepEqual(trial.taken[0], { server: 'a', order: { kind: 'unload', model: 'new', fencing: 9 } })
+  const harness = new OrderHarness(t)
+  await harness.addServer('a', 'new')
+  const old = await harness.accept(0)
+  const last = await harness.accept(old)
+  harness.place(old, 'old')
+  await harness.start({ listOwned: () => ['a'], isSettled: () => true, getAuthority: () => 9, confirm: () => {} })
+  await harness.runUntil(() => harness.stateReads > 3)
+  t.deepEqual(harness.received, [])
+  harness.place(last, 'newer')
+  await harness.runUntil(() => harness.received.length > 0)
+  t.deepEqual(harness.received[0], { server: 'a', order: { kind: 'unload', model: 'new', fencing: 9 } })
 })
