--- a/src/commands/account.ts
+++ b/src/commands/account.ts
@@ -1,7 +1,7 @@
 import { Command, Option } from 'clipanion'
 import type { AccountCounts } from '../admission/account-counts.js'
 import type { MergedAccount } from '../admission/merged-account.js'
-import { showBound } from '../report/show-bound.js'
+import { showUndercount } from '../report/show-undercount.js'
 import { EntryCommand } from './entry-command.js'
 
 /** Shows what each caller asked for, got and was refused, over the whole fleet. */
@@ -22,7 +22,7 @@
     const account = await this.client().call<MergedAccount & { silent: readonly string[] }>('GET', `/operator/account?${query}`)
     return this.show(account, ({ rows, mayMiss, whole, silent }) => [
       ...Object.entries(rows).sort(([a], [b]) => a < b ? -1 : 1).map(([name, counts]) => writeRow(name, counts)),
-      showBound(mayMiss),
+      showUndercount(mayMiss),
       ...silent.map(name => `${name} did not answer`),
       ...whole ? [] : ['the platform could not be read: the figures are of the daemon asked only']
     ].join('\n'))
--- a/src/commands/timeline.ts
+++ b/src/commands/timeline.ts
@@ -1,7 +1,7 @@
 import { Command, Option } from 'clipanion'
 import { writeFileSync } from 'node:fs'
 import { buildTimelinePage } from '../observe/build-timeline-page.js'
-import { filterAround } from '../observe/filter-around.js'
+import { filterRelatedEvents } from '../observe/filter-related-events.js'
 import { mergeTimelines } from '../observe/merge-timelines.js'
 import { showTimeline } from '../observe/show-timeline.js'
 import type { TimelineEvent } from '../observe/timeline-event.js'
@@ -33,7 +33,7 @@
     const asked = await askMembers<{ events: TimelineEvent[] }>(this.client(), `/operator/timeline?${query}`, url => this.client(url))
     const merged = asked.map(({ answers, silent }) => {
       const events = mergeTimelines(answers.map(({ events }) => events))
-      return { events: isWhole ? events : filterAround(events), silent }
+      return { events: isWhole ? events : filterRelatedEvents(events), silent }
     })
     if (merged.ok && this.html !== undefined) writeFileSync(this.html, buildTimelinePage(this.request ?? this.job ?? 'time line', merged.val.events))
     return this.show(merged, ({ events, silent }) => [
--- a/src/commands/trace.ts
+++ b/src/commands/trace.ts
@@ -4,7 +4,7 @@
 import { buildTracePage } from '../observe/build-trace-page.js'
 import { readTrace } from '../observe/read-trace.js'
 import { showTrace } from '../observe/show-trace.js'
-import { showUnread } from '../observe/show-unread.js'
+import { showReadProblems } from '../observe/show-read-problems.js'
 import type { TraceError } from '../observe/trace-error.js'
 import { exitCodes } from './exit-codes.js'
 
@@ -51,11 +51,11 @@
         return exitCodes.usage
       }
       case 'no log': {
-        this.writeLines([`--logs: none of ${error.files} files in ${this.logs} has a line of a log`, ...showUnread(error.unread)])
+        this.writeLines([`--logs: none of ${error.files} files in ${this.logs} has a line of a log`, ...showReadProblems(error.unread)])
         return exitCodes.usage
       }
       case 'unknown id': {
-        this.writeLines([`no line has ${this.id} as its request, job or server (${error.lines} lines of ${error.instances} instances)`, ...showUnread(error.unread)])
+        this.writeLines([`no line has ${this.id} as its request, job or server (${error.lines} lines of ${error.instances} instances)`, ...showReadProblems(error.unread)])
         return exitCodes.refused
       }
       default: return failUnreachable(error)
--- a/src/observe/filter-around.ts
+++ b/src/observe/filter-related-events.ts
@@ -7,7 +7,7 @@
  * The events of one request or job, and what happened to servers and daemons meanwhile. Why a request was refused or a
  * job stood still is often told only by these: a daemon that was killed records nothing itself.
  */
-export function filterAround (events: readonly TimelineEvent[]): readonly TimelineEvent[] {
+export function filterRelatedEvents (events: readonly TimelineEvent[]): readonly TimelineEvent[] {
   const own = events.filter(isOwn)
   const first = own[0]
   if (first === undefined) return []
--- a/src/observe/show-trace-notes.ts
+++ b/src/observe/show-trace-notes.ts
@@ -1,4 +1,4 @@
-import { showUnread } from './show-unread.js'
+import { showReadProblems } from './show-read-problems.js'
 import type { Trace } from './trace.js'
 
 /** What stands beside the course: lines that were counted, clocks that differ, and what could not be read. */
@@ -6,6 +6,6 @@
   return [
     ...counted.map(({ instance, what, server, count }) => `not shown: ${instance} ${count} x ${what}${server === undefined ? '' : ` at ${server}`}`),
     ...clocks.map(({ behind, ahead, least }) => `the clock of ${behind} is behind that of ${ahead} by ${least} ms or more`),
-    ...showUnread(unread)
+    ...showReadProblems(unread)
   ]
 }
--- a/src/report/list-notes.ts
+++ b/src/report/list-notes.ts
@@ -1,4 +1,4 @@
-import { showBound } from './show-bound.js'
+import { showUndercount } from './show-undercount.js'
 import type { ReportPart } from './report-part.js'
 
 /** What each figure is drawn from, and what it may lack: one sentence a line. */
@@ -6,7 +6,7 @@
   const { asked, runs, silent, partial } = bound
   const open = total.online.asked - total.online.answered - [total.online.refused, total.online.failed].flatMap(tally => Object.values(tally)).reduce((sum, count) => sum + count, 0)
   return [
-    `online figures are counted by the daemons as callers ask and are answered; the period ${showBound({ asked, runs })}`,
+    `online figures are counted by the daemons as callers ask and are answered; the period ${showUndercount({ asked, runs })}`,
     ...runs.length === 0 ? [] : [`runs that may lack some: ${runs.join(', ')}`],
     ...silent.map(name => `${name} did not answer when it was asked for what it has not written yet`),
     ...partial.map(day => `${day}: the platform could not be read; the figures are of one daemon since its start`),
--- a/test/observe/timeline.test.ts
+++ b/test/observe/timeline.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava'
 import 'reflect-metadata'
 import { buildTimelinePage } from '../../src/observe/build-timeline-page.js'
-import { filterAround } from '../../src/observe/filter-around.js'
+import { filterRelatedEvents } from '../../src/observe/filter-related-events.js'
 import { mergeTimelines } from '../../src/observe/merge-timelines.js'
 import { showTimeline } from '../../src/observe/show-timeline.js'
 import { Timeline } from '../../src/observe/timeline.js'
@@ -61,6 +61,6 @@
   await record({ part: 'entry', what: 'asked', request: 'r' })
   await record({ part: 'batch', what: 'completed', job: 'j' })
   await record({ part: 'peers', what: 'dead', detail: 'entry-9' })
-  t.deepEqual(filterAround(timeline.find({ job: 'j', around: true })).map(({ what }) => what), ['accepted', 'dead', 'server down', 'completed'])
-  t.deepEqual(filterAround(timeline.find({ job: 'k', around: true })), [])
+  t.deepEqual(filterRelatedEvents(timeline.find({ job: 'j', around: true })).map(({ what }) => what), ['accepted', 'dead', 'server down', 'completed'])
+  t.deepEqual(filterRelatedEvents(timeline.find({ job: 'k', around: true })), [])
 })
