--- a/src/commands/account.ts
+++ b/src/commands/account.ts
@@ -21,7 +21,7 @@
     const query = new URLSearchParams({ ...(this.caller && { caller: this.caller }), ...(this.since && { since: this.since }) })
     const account = await this.client().call<MergedAccount & { silent: readonly string[] }>('GET', `/operator/account?${query}`)
     return this.show(account, ({ rows, mayMiss, whole, silent }) => [
-      ...Object.entries(rows).sort(([a], [b]) => a < b ? -1 : 1).map(([name, counts]) => writeRow(name, counts)),
+      ...Object.entries(rows).sort(([a], [b]) => a < b ? -1 : 1).map(([name, counts]) => formatCaller(name, counts)),
       showBound(mayMiss),
       ...silent.map(name => `${name} did not answer`),
       ...whole ? [] : ['the platform could not be read: the figures are of the daemon asked only']
@@ -29,7 +29,7 @@
   }
 }
 
-function writeRow (name: string, { asked, answered, tokens, waited, refused, failed }: AccountCounts): string {
-  const causes = [...Object.entries(refused).map(([cause, n]) => `${n} refused (${cause})`), ...Object.entries(failed).map(([cause, n]) => `${n} failed (${cause})`)]
+function formatCaller (name: string, { asked, answered, tokens, waited, refused, failed }: AccountCounts): string {
+  const causes = [...Object.entries(refused).map(([cause, count]) => `${count} refused (${cause})`), ...Object.entries(failed).map(([cause, count]) => `${count} failed (${cause})`)]
   return [name, `${asked} asked`, `${answered} answered`, `${tokens} tokens`, `${Math.round(waited)} ms waited`, ...causes].join('  ')
 }
--- a/src/commands/apply.ts
+++ b/src/commands/apply.ts
@@ -5,13 +5,13 @@
 import type { KeyChange } from '../config/key-change.js'
 import { readYamlFiles } from '../config/read-yaml-files.js'
 import { listKeyChanges } from '../config/list-key-changes.js'
-import type { Reach } from '../config/reach.js'
-import { showFinding } from '../config/show-finding.js'
+import type { RolloutStatus } from '../config/rollout-status.js'
+import { formatFinding } from '../config/format-finding.js'
 import { EntryCommand } from './entry-command.js'
 import { exitCodes } from './exit-codes.js'
 
-const CONFLICT = 409
-const UNKNOWN = 504
+const HTTP_CONFLICT = 409
+const HTTP_GATEWAY_TIMEOUT = 504
 const POLL_PERIOD = 250
 const MS_PER_SECOND = 1_000
 
@@ -46,11 +46,11 @@
   async execute (): Promise<number> {
     const files = readYamlFiles(this.folder)
     const checked = files.andThen(texts => checkFiles(texts))
-    if (checked.err) return this.write({ findings: checked.val }, checked.val.map(showFinding).join('\n'), exitCodes.refused)
-    const present = await this.client().call<{ version: number, files: Record<string, string> }>('GET', '/operator/configuration/files')
-    if (present.err) return this.showError(present.val)
-    const plan = createPlan(present.val.version, new Map(Object.entries(present.val.files)), files.unwrap())
-    const text = showPlan(plan)
+    if (checked.err) return this.write({ findings: checked.val }, checked.val.map(formatFinding).join('\n'), exitCodes.refused)
+    const current = await this.client().call<{ version: number, files: Record<string, string> }>('GET', '/operator/configuration/files')
+    if (current.err) return this.showError(current.val)
+    const plan = createPlan(current.val.version, new Map(Object.entries(current.val.files)), files.unwrap())
+    const text = formatPlan(plan)
     if (this.diff || (Object.keys(plan.put).length + plan.remove.length === 0)) return this.write(plan, text, exitCodes.ok)
     if (!this.json) this.context.stdout.write(text + '\n')
     if (!await this.askToConfirm()) return exitCodes.usage
@@ -72,24 +72,24 @@
   private async send ({ version, put, remove }: Plan): Promise<number> {
     const basedOn = this.basedOn === undefined ? version : Number(this.basedOn)
     const accepted = await this.client().call<{ version: number, changed: readonly string[] }>('PUT', '/operator/configuration', { basedOn, put, remove, by: this.by })
-    if (accepted.ok) return await this.waitForReach(accepted.val.version)
+    if (accepted.ok) return await this.waitForRollout(accepted.val.version)
     const code = this.showError(accepted.val)
     if (accepted.val.type !== 'refused') return exitCodes.unknown
-    if (accepted.val.status === CONFLICT) return exitCodes.conflict
-    return accepted.val.status === UNKNOWN ? exitCodes.unknown : code
+    if (accepted.val.status === HTTP_CONFLICT) return exitCodes.conflict
+    return accepted.val.status === HTTP_GATEWAY_TIMEOUT ? exitCodes.unknown : code
   }
 
-  private async waitForReach (version: number): Promise<number> {
+  private async waitForRollout (version: number): Promise<number> {
     const end = Date.now() + Number(this.wait) * MS_PER_SECOND
     for (;;) {
-      const reach = await this.client().call<Reach>('GET', `/operator/configuration/reach?version=${version}`)
+      const reach = await this.client().call<RolloutStatus>('GET', `/operator/configuration/reach?version=${version}`)
       const done = reach.ok && reach.val.behind.length + reach.val.silent.length === 0
-      if (done || Date.now() >= end) return this.showReach(version, reach.unwrapOr(undefined), done)
+      if (done || Date.now() >= end) return this.showRollout(version, reach.unwrapOr(undefined), done)
       await new Promise(resolve => setTimeout(resolve, POLL_PERIOD))
     }
   }
 
-  private showReach (version: number, reach: Reach | undefined, done: boolean): number {
+  private showRollout (version: number, reach: RolloutStatus | undefined, done: boolean): number {
     const lines = [`accepted as version ${version}`]
     if (reach === undefined) lines.push('the daemon did not say which daemons act on it')
     else lines.push(`${reach.acting.length} daemons act on it`, ...reach.behind.map(({ instance, version }) => `${instance} acts on ${version}`), ...reach.silent.map(name => `${name} does not answer`))
@@ -102,14 +102,14 @@
   }
 }
 
-function createPlan (version: number, present: ReadonlyMap<string, string>, files: ReadonlyMap<string, string>): Plan {
-  const put = Object.fromEntries([...files].filter(([name, text]) => present.get(name) !== text))
-  const before = checkFiles(present)
+function createPlan (version: number, current: ReadonlyMap<string, string>, files: ReadonlyMap<string, string>): Plan {
+  const put = Object.fromEntries([...files].filter(([name, text]) => current.get(name) !== text))
+  const before = checkFiles(current)
   const keys = before.ok ? listKeyChanges(before.val.root, checkFiles(files).unwrap().root) : []
-  return { version, put, remove: [...present.keys()].filter(name => !files.has(name)), keys }
+  return { version, put, remove: [...current.keys()].filter(name => !files.has(name)), keys }
 }
 
-function showPlan ({ version, put, remove, keys }: Plan): string {
+function formatPlan ({ version, put, remove, keys }: Plan): string {
   const files = [...Object.keys(put).map(name => `  set     ${name}`), ...remove.map(name => `  remove  ${name}`)]
   if (files.length === 0) return `nothing differs from version ${version}`
   const changes = keys.map(({ file, line, key, before = 'not set', after = 'not set' }) => `  ${key}: ${before} -> ${after}  (${file}:${line})`)
--- a/src/commands/check-usage.ts
+++ b/src/commands/check-usage.ts
@@ -11,12 +11,12 @@
  * @example
  * checkUsage(cli.definitions(), ['jobs', 'submt']) // 'there is no command jobs submt; did you mean jobs submit?'
  */
-export function checkUsage (definitions: readonly CommandDefinition[], words: readonly string[], environment: Environment = process.env): string {
+export function checkUsage (definitions: readonly CommandDefinition[], args: readonly string[], environment: Environment = process.env): string {
   const paths = definitions.map(definition => ({ definition, path: listPath(definition) }))
-  const found = paths.find(({ path }) => path.every((word, i) => words[i] === word))
-  return found === undefined
-    ? checkPath(paths.map(({ path }) => path), words)
-    : checkCommand(found.definition, words.slice(found.path.length), environment)
+  const match = paths.find(({ path }) => path.every((word, i) => args[i] === word))
+  return match === undefined
+    ? checkPath(paths.map(({ path }) => path), args)
+    : checkCommand(match.definition, args.slice(match.path.length), environment)
 }
 
 function listPath ({ path }: CommandDefinition): readonly string[] {
@@ -28,8 +28,8 @@
   return definition.split(' ')[0]!.split(',')
 }
 
-function checkPath (paths: ReadonlyArray<readonly string[]>, words: readonly string[]): string {
-  const [first = '', second] = words
+function checkPath (paths: ReadonlyArray<readonly string[]>, args: readonly string[]): string {
+  const [first = '', second] = args
   const group = paths.filter(path => path.length > 1 && path[0] === first)
   if (group.length === 0) return `there is no command ${first}${showSuggestion(first, [...new Set(paths.map(path => path[0]!))])}`
   const seconds = group.map(path => path[1]!)
@@ -38,29 +38,29 @@
     : `there is no command ${first} ${second}${showSuggestion(second, seconds, first + ' ')}`
 }
 
-function checkCommand (definition: CommandDefinition, words: readonly string[], environment: Environment): string {
+function checkCommand (definition: CommandDefinition, args: readonly string[], environment: Environment): string {
   const name = listPath(definition).join(' ')
-  const { options, positionals } = splitWords(definition, words)
+  const { options, positionals } = splitArguments(definition, args)
   const known = definition.options.flatMap(listNames)
-  const needed = definition.usage.match(/<[^>]+>/g) ?? []
+  const required = definition.usage.match(/<[^>]+>/g) ?? []
   const findings = [
     ...options.filter(option => !known.includes(option)).map(option => `${name} has no option ${option}${showSuggestion(option, known)}`),
     ...definition.options
       .filter(option => option.required && !listNames(option).some(known => options.includes(known) || environment[entryVariables[known] ?? ''] !== undefined))
-      .map(option => `${name} needs ${listNames(option)[0]!}, ${option.description ?? ''}${showVariable(listNames(option)[0]!)}`),
-    ...needed.slice(positionals.length).map(argument => `${name} needs ${argument}`),
-    ...positionals.slice(needed.length).map(word => `${name} doesn't take ${word}`)
+      .map(option => `${name} needs ${listNames(option)[0]!}, ${option.description ?? ''}${showEnvironmentVariable(listNames(option)[0]!)}`),
+    ...required.slice(positionals.length).map(argument => `${name} needs ${argument}`),
+    ...positionals.slice(required.length).map(word => `${name} doesn't take ${word}`)
   ]
   return findings.length === 0 ? `${name}: an option lacks its value` : findings.join('\n')
 }
 
 /** The names of the options given, and the words that are no option's value. */
-function splitWords (definition: CommandDefinition, words: readonly string[]): { readonly options: readonly string[], readonly positionals: readonly string[] } {
+function splitArguments (definition: CommandDefinition, args: readonly string[]): { readonly options: readonly string[], readonly positionals: readonly string[] } {
   const withValue = new Set(definition.options.filter(({ definition }) => definition.includes('#')).flatMap(listNames))
-  const isValue = (i: number): boolean => i > 0 && withValue.has(words[i - 1]!)
+  const isValue = (i: number): boolean => i > 0 && withValue.has(args[i - 1]!)
   return {
-    options: words.filter((word, i) => word.startsWith('-') && !isValue(i)).map(word => word.split('=')[0]!),
-    positionals: words.filter((word, i) => !word.startsWith('-') && !isValue(i))
+    options: args.filter((word, i) => word.startsWith('-') && !isValue(i)).map(word => word.split('=')[0]!),
+    positionals: args.filter((word, i) => !word.startsWith('-') && !isValue(i))
   }
 }
 
@@ -69,6 +69,6 @@
   return right === undefined ? '' : `; did you mean ${before}${right}?`
 }
 
-function showVariable (option: string): string {
+function showEnvironmentVariable (option: string): string {
   return entryVariables[option] === undefined ? '' : `, here or in ${entryVariables[option]}`
 }
--- a/src/commands/check.ts
+++ b/src/commands/check.ts
@@ -3,7 +3,7 @@
 import type { Finding } from '../config/finding.js'
 import { readYamlFiles } from '../config/read-yaml-files.js'
 import { listKeys } from '../config/list-keys.js'
-import { showFinding } from '../config/show-finding.js'
+import { formatFinding } from '../config/format-finding.js'
 import { exitCodes } from './exit-codes.js'
 
 /** Checks an operators' folder without asking a daemon. */
@@ -27,13 +27,13 @@
     const checked = readYamlFiles(this.folder).andThen(files => checkFiles(files))
     if (checked.err) return this.reject(checked.val)
     const keys = listKeys(checked.val.root)
-    const lines = this.keys ? keys.map(key => showFinding({ ...key, message: key.key + key.replaced.map(file => ` (over ${file})`).join('') })) : ['nothing found']
+    const lines = this.keys ? keys.map(key => formatFinding({ ...key, message: key.key + key.replaced.map(file => ` (over ${file})`).join('') })) : ['nothing found']
     this.write(this.json ? JSON.stringify({ findings: [], ...this.keys && { keys } }) : lines.join('\n'))
     return exitCodes.ok
   }
 
   private reject (findings: readonly Finding[]): number {
-    this.write(this.json ? JSON.stringify({ findings }) : findings.map(showFinding).join('\n'))
+    this.write(this.json ? JSON.stringify({ findings }) : findings.map(formatFinding).join('\n'))
     return exitCodes.refused
   }
 
--- a/src/commands/entry-command.ts
+++ b/src/commands/entry-command.ts
@@ -18,9 +18,9 @@
   }
 
   /** Prints a result, as JSON or by `write`, or its error; gives back the exit code. */
-  protected show<T> (result: Result<T, EntryError>, write: (value: T) => string): number {
+  protected show<T> (result: Result<T, EntryError>, format: (value: T) => string): number {
     if (result.err) return this.showError(result.val)
-    this.context.stdout.write((this.json ? JSON.stringify(result.val, null, 2) : write(result.val)) + '\n')
+    this.context.stdout.write((this.json ? JSON.stringify(result.val, null, 2) : format(result.val)) + '\n')
     return exitCodes.ok
   }
 
--- a/src/commands/history.ts
+++ b/src/commands/history.ts
@@ -16,12 +16,12 @@
   })
 
   async execute (): Promise<number> {
-    return this.show(await this.client().call<History>('GET', '/operator/configuration/history'), writeHistory)
+    return this.show(await this.client().call<History>('GET', '/operator/configuration/history'), formatHistory)
   }
 }
 
 /** Each change with the version it became: what the next one was based on. */
-function writeHistory ({ version, changes }: History): string {
+function formatHistory ({ version, changes }: History): string {
   if (changes.length === 0) return 'nothing has been accepted'
   return changes.map(({ at, by, files, more }, i) => {
     const became = changes[i + 1]?.basedOn ?? version
--- a/src/commands/jobs-cancel.ts
+++ b/src/commands/jobs-cancel.ts
@@ -1,7 +1,7 @@
 import { Command, Option } from 'clipanion'
 import { EntryCommand } from './entry-command.js'
 import type { ShownJob } from './shown-job.js'
-import { writeJob } from './write-job.js'
+import { formatJob } from './format-job.js'
 
 /** Cancels a job. Once acknowledged it is durable, and no item starts after the stated bound. */
 export class JobsCancelCommand extends EntryCommand {
@@ -16,6 +16,6 @@
   id = Option.String({ name: 'id' })
 
   async execute (): Promise<number> {
-    return this.show(await this.client().call<ShownJob>('POST', `/v1/batches/${encodeURIComponent(this.id)}/cancel`), writeJob)
+    return this.show(await this.client().call<ShownJob>('POST', `/v1/batches/${encodeURIComponent(this.id)}/cancel`), formatJob)
   }
 }
--- a/src/commands/jobs-list.ts
+++ b/src/commands/jobs-list.ts
@@ -1,7 +1,7 @@
 import { Command, Option } from 'clipanion'
 import { EntryCommand } from './entry-command.js'
 import type { ShownJob } from './shown-job.js'
-import { writeJob } from './write-job.js'
+import { formatJob } from './format-job.js'
 
 /** Lists the caller's jobs, newest first. */
 export class JobsListCommand extends EntryCommand {
@@ -19,6 +19,6 @@
   async execute (): Promise<number> {
     const query = new URLSearchParams({ limit: this.limit, ...this.after === undefined ? {} : { after: this.after } })
     const page = await this.client().call<{ data: readonly ShownJob[], has_more: boolean, last_id: string | null }>('GET', `/v1/batches?${query}`)
-    return this.show(page, ({ data, has_more: more, last_id: last }) => [...data.map(writeJob), ...more ? [`there are more; go on with --after ${last}`] : []].join('\n'))
+    return this.show(page, ({ data, has_more: more, last_id: last }) => [...data.map(formatJob), ...more ? [`there are more; go on with --after ${last}`] : []].join('\n'))
   }
 }
--- a/src/commands/jobs-status.ts
+++ b/src/commands/jobs-status.ts
@@ -1,7 +1,7 @@
 import { Command, Option } from 'clipanion'
 import { EntryCommand } from './entry-command.js'
 import type { ShownJob } from './shown-job.js'
-import { writeJob } from './write-job.js'
+import { formatJob } from './format-job.js'
 
 /** Shows one job: its counts, when it is due, and whether it will be late. */
 export class JobsStatusCommand extends EntryCommand {
@@ -16,6 +16,6 @@
   id = Option.String({ name: 'id' })
 
   async execute (): Promise<number> {
-    return this.show(await this.client().call<ShownJob>('GET', `/v1/batches/${encodeURIComponent(this.id)}`), writeJob)
+    return this.show(await this.client().call<ShownJob>('GET', `/v1/batches/${encodeURIComponent(this.id)}`), formatJob)
   }
 }
--- a/src/commands/jobs-submit.ts
+++ b/src/commands/jobs-submit.ts
@@ -5,7 +5,7 @@
 import { exitCodes } from './exit-codes.js'
 import type { ShownJob } from './shown-job.js'
 import { uploadFile } from './upload-file.js'
-import { writeJob } from './write-job.js'
+import { formatJob } from './format-job.js'
 
 /** Uploads a batch file and submits a job for it. The same file and key are the same job. */
 export class JobsSubmitCommand extends EntryCommand {
@@ -32,7 +32,7 @@
     if (file.err) return this.showError(file.val)
     const body = { input_file_id: file.val.id, endpoint: this.endpoint, completion_window: this.window }
     const headers: Record<string, string> = this.key === undefined ? {} : { 'idempotency-key': this.key }
-    return this.show(await this.client().call<ShownJob>('POST', '/v1/batches', body, headers), writeJob)
+    return this.show(await this.client().call<ShownJob>('POST', '/v1/batches', body, headers), formatJob)
   }
 }
 
--- a/src/commands/load.ts
+++ b/src/commands/load.ts
@@ -9,8 +9,8 @@
 
 const MS_PER_SECOND = 1_000
 
-const isAmount = t.cascade(t.isNumber(), [t.isAtLeast(0)])
-const isCount = t.cascade(t.isNumber(), [t.isInteger(), t.isAtLeast(1)])
+const isNonNegative = t.cascade(t.isNumber(), [t.isAtLeast(0)])
+const isPositiveInteger = t.cascade(t.isNumber(), [t.isInteger(), t.isAtLeast(1)])
 
 /** Brings online load to a fleet and tells what came of it. */
 export class LoadCommand extends EntryCommand {
@@ -23,16 +23,16 @@
   })
 
   model = Option.String('--model', { required: true, description: 'the service to ask' })
-  rate = Option.String('--rate', '10', { validator: isAmount, description: 'requests a second' })
-  burst = Option.String('--burst', '0', { validator: isAmount, description: 'requests a second during bursts (2 s of every 8); 0: no bursts' })
-  seconds = Option.String('--seconds', '10', { validator: isAmount, description: 'how long' })
-  tokens = Option.String('--tokens', '32', { validator: isCount, description: 'most tokens of an answer' })
-  seed = Option.String('--seed', '1', { validator: isCount, description: 'the same seed brings the same requests' })
+  rate = Option.String('--rate', '10', { validator: isNonNegative, description: 'requests a second' })
+  burst = Option.String('--burst', '0', { validator: isNonNegative, description: 'requests a second during bursts (2 s of every 8); 0: no bursts' })
+  seconds = Option.String('--seconds', '10', { validator: isNonNegative, description: 'how long' })
+  tokens = Option.String('--tokens', '32', { validator: isPositiveInteger, description: 'most tokens of an answer' })
+  seed = Option.String('--seed', '1', { validator: isPositiveInteger, description: 'the same seed brings the same requests' })
 
   async execute (): Promise<number> {
-    const known = await this.client().call<{ addresses: readonly { url: string }[] }>('GET', '/v1/addresses')
-    if (known.err) return this.showError(known.val)
-    const urls = known.val.addresses.map(({ url }) => url)
+    const addresses = await this.client().call<{ addresses: readonly { url: string }[] }>('GET', '/v1/addresses')
+    if (addresses.err) return this.showError(addresses.val)
+    const urls = addresses.val.addresses.map(({ url }) => url)
     const rate = this.rate
     const outcomes = await runLoad(planArrivals({
       seed: this.seed,
@@ -46,12 +46,12 @@
       callers: [this.token]
     }), { urls: () => urls, model: this.model })
     const summary = summarizeLoad(outcomes)
-    this.context.stdout.write((this.json ? JSON.stringify(summary, null, 2) : writeSummary(summary)) + '\n')
+    this.context.stdout.write((this.json ? JSON.stringify(summary, null, 2) : formatSummary(summary)) + '\n')
     return summary.cut + summary.lost > 0 ? exitCodes.refused : exitCodes.ok
   }
 }
 
-function writeSummary ({ asked, answered, refused, cut, lost, firstToken, betweenTokens }: LoadSummary): string {
+function formatSummary ({ asked, answered, refused, cut, lost, firstToken, betweenTokens }: LoadSummary): string {
   return [
     `asked ${asked}, answered ${answered}, cut ${cut}, lost ${lost}, refused ${JSON.stringify(refused)}`,
     ...Object.entries({ 'first token': firstToken, 'between tokens': betweenTokens })
--- a/src/commands/run-program.ts
+++ b/src/commands/run-program.ts
@@ -7,25 +7,25 @@
 const VERSION = '0.1.0'
 
 /** Runs the command that the words name. Wrong words are explained on standard error, all findings together. */
-export async function runProgram (words: readonly string[], context: Partial<BaseContext> = {}): Promise<number> {
+export async function runProgram (args: readonly string[], context: Partial<BaseContext> = {}): Promise<number> {
   const cli = new Cli({ binaryName: 'citronwheel', binaryLabel: 'citronwheel', binaryVersion: VERSION, enableColors: false })
   for (const command of commands) cli.register(command)
   const { stderr = process.stderr, stdout = process.stdout } = context
-  const help = showHelp(cli, words)
+  const help = showHelp(cli, args)
   if (help !== undefined) {
     stdout.write(help)
     return exitCodes.ok
   }
   try {
-    cli.process([...words])
+    cli.process([...args])
   } catch (error) {
-    stderr.write(isWrongValue(error) ? `${error.message}\n` : checkUsage(cli.definitions(), words) + '\n')
+    stderr.write(isInvalidValue(error) ? `${error.message}\n` : checkUsage(cli.definitions(), args) + '\n')
     return exitCodes.usage
   }
-  return await cli.run([...words], context)
+  return await cli.run([...args], context)
 }
 
 /** An option's value that its validator rejected; all other errors are of words that name no command. */
-function isWrongValue (error: unknown): error is Error {
+function isInvalidValue (error: unknown): error is Error {
   return error instanceof Error && error.name === 'UsageError'
 }
--- a/src/commands/serve.ts
+++ b/src/commands/serve.ts
@@ -1,6 +1,6 @@
 import { Command, Option } from 'clipanion'
 import { readSettings } from '../config/read-settings.js'
-import { showFinding } from '../config/show-finding.js'
+import { formatFinding } from '../config/format-finding.js'
 import { EntryServer } from '../entry/entry-server.js'
 import { limitHeap } from '../kernel/limit-heap.js'
 import { Shutdown } from '../kernel/shutdown.js'
@@ -25,7 +25,7 @@
     limitHeap()
     const read = readSettings(this.settings)
     if (read.err) {
-      this.context.stderr.write(read.val.map(finding => showFinding(finding) + '\n').join(''))
+      this.context.stderr.write(read.val.map(finding => formatFinding(finding) + '\n').join(''))
       return exitCodes.usage
     }
     const settings = read.val
--- a/src/commands/show-help.ts
+++ b/src/commands/show-help.ts
@@ -1,16 +1,16 @@
 import type { Cli } from 'clipanion'
 import { commands } from './commands.js'
 
-const HELP = ['--help', '-h']
+const HELP_OPTIONS = ['--help', '-h']
 
 /** The help that the words ask for, of one command, of a group or of all; nothing where they ask for none. */
-export function showHelp (cli: Cli, words: readonly string[]): string | undefined {
-  if (words.length > 0 && !words.some(word => HELP.includes(word))) return undefined
-  const path = words.filter(word => !word.startsWith('-'))
-  const command = commands.find(({ paths = [] }) => paths.some(known => isPrefix(known, path) && !known.some(word => word.startsWith('-'))))
-  if (command !== undefined) return showValues(cli.usage(command, { detailed: true, colored: false }))
+export function showHelp (cli: Cli, args: readonly string[]): string | undefined {
+  if (args.length > 0 && !args.some(word => HELP_OPTIONS.includes(word))) return undefined
+  const path = args.filter(word => !word.startsWith('-'))
+  const command = commands.find(({ paths = [] }) => paths.some(commandPath => isPrefix(commandPath, path) && !commandPath.some(word => word.startsWith('-'))))
+  if (command !== undefined) return formatValues(cli.usage(command, { detailed: true, colored: false }))
   const group = path.length === 0 ? [] : cli.definitions().filter(definition => isPrefix(path, definition.path.split(' ').slice(1)))
-  return showValues(group.length === 0
+  return formatValues(group.length === 0
     ? cli.usage(null, { colored: false })
     : group.map(({ path, description = '' }) => `${path}\n  ${description}`).join('\n'))
 }
@@ -20,6 +20,6 @@
 }
 
 /** The library names the value of an option after its place in the words. */
-function showValues (text: string): string {
+function formatValues (text: string): string {
   return text.replaceAll(' #0', ' VALUE')
 }
--- a/src/commands/status.ts
+++ b/src/commands/status.ts
@@ -16,13 +16,13 @@
   async execute (): Promise<number> {
     const status = await askMembers<FleetStatus>(this.client(), '/operator/status', url => this.client(url))
     return this.show(status, ({ answers, silent }) => [
-      ...answers.map(writeDaemon),
+      ...answers.map(formatDaemon),
       ...silent.map(name => `${name}  does not answer`)
     ].sort().join('\n'))
   }
 }
 
-function writeDaemon ({ instance, configuration, members }: FleetStatus): string {
+function formatDaemon ({ instance, configuration, members }: FleetStatus): string {
   const alive = members.filter(({ state }) => state === 'alive').length
   return `${instance}  configuration ${configuration}  sees ${alive} of ${members.length} members alive`
 }
--- a/src/commands/timeline.ts
+++ b/src/commands/timeline.ts
@@ -30,8 +30,8 @@
     const isWhole = this.request === undefined && this.job === undefined
     if (this.request !== undefined) query.set('request', this.request)
     if (this.job !== undefined) query.set('job', this.job)
-    const asked = await askMembers<{ events: TimelineEvent[] }>(this.client(), `/operator/timeline?${query}`, url => this.client(url))
-    const merged = asked.map(({ answers, silent }) => {
+    const answer = await askMembers<{ events: TimelineEvent[] }>(this.client(), `/operator/timeline?${query}`, url => this.client(url))
+    const merged = answer.map(({ answers, silent }) => {
       const events = mergeTimelines(answers.map(({ events }) => events))
       return { events: isWhole ? events : filterAround(events), silent }
     })
--- a/src/commands/upload-file.ts
+++ b/src/commands/upload-file.ts
@@ -15,12 +15,12 @@
     const answer = await response.json() as Refusal & { readonly id: string }
     if (response.status < 300) return Ok(answer)
     const retryAfter = response.headers.get('retry-after')
-    return Err({ type: 'refused', status: response.status, detail: writeRefusal(answer), ...retryAfter === null ? {} : { retryAfter: Number(retryAfter) } })
+    return Err({ type: 'refused', status: response.status, detail: formatRefusal(answer), ...retryAfter === null ? {} : { retryAfter: Number(retryAfter) } })
   } catch (error) {
     return Err({ type: 'unreachable', detail: `${url}: ${(error as Error).message}` })
   }
 }
 
-function writeRefusal ({ detail = '', findings = [] }: Refusal): string {
+function formatRefusal ({ detail = '', findings = [] }: Refusal): string {
   return findings.length === 0 ? detail : findings.map(({ line, message }) => `line ${line}: ${message}`).join('\n')
 }
--- a/src/config/check-contradictions.ts
+++ b/src/config/check-consistency.ts
@@ -3,10 +3,10 @@
 import type { Finding } from './finding.js'
 
 /** What is wrong only when keys are seen together, whichever files they stand in. */
-export function checkContradictions (configuration: Omit<Configuration, 'version'>, root: Entry): readonly Finding[] {
+export function checkConsistency (configuration: Omit<Configuration, 'version'>, root: Entry): readonly Finding[] {
   const findings: Finding[] = []
   const reject = (path: readonly string[], message: string): void => {
-    findings.push({ ...findPlace(root, path).place, message: `${path.join('.')}: ${message}` })
+    findings.push({ ...findNearestEntry(root, path).location, message: `${path.join('.')}: ${message}` })
   }
   checkServices(configuration, reject)
   checkTokens(configuration, reject)
@@ -39,8 +39,8 @@
 }
 
 /** The entry at `path`, or the nearest one above it. */
-function findPlace (entry: Entry, [key, ...rest]: readonly string[]): Entry {
+function findNearestEntry (entry: Entry, [key, ...rest]: readonly string[]): Entry {
   if (key === undefined || entry.type === 'scalar') return entry
   const next = entry.type === 'map' ? entry.keys.get(key) : entry.items[Number(key)]
-  return next === undefined ? entry : findPlace(next, rest)
+  return next === undefined ? entry : findNearestEntry(next, rest)
 }
--- a/src/config/check-entry.ts
+++ b/src/config/check-entry.ts
@@ -5,9 +5,9 @@
 import { readDefault } from './read-default.js'
 import { suggestWord } from '../kernel/suggest-word.js'
 
-const KEY = /^[A-Za-z0-9][A-Za-z0-9._-]{0,99}$/
+const NAME_PATTERN = /^[A-Za-z0-9][A-Za-z0-9._-]{0,99}$/
 /** Longest part of a wrong value that a finding quotes; a secret in the wrong place isn't spread further than that. */
-const QUOTED = 24
+const MAX_QUOTED_LENGTH = 24
 
 type Schema<T extends KeySchema['type']> = Extract<KeySchema, { readonly type: T }>
 
@@ -17,7 +17,7 @@
  */
 export function checkEntry (entry: Entry, schema: KeySchema, path: string, findings: Finding[]): unknown {
   const reject = (message: string, at = entry): undefined => {
-    findings.push({ ...at.place, message: path === '' ? message : `${path}: ${message}` })
+    findings.push({ ...at.location, message: path === '' ? message : `${path}: ${message}` })
   }
   switch (schema.type) {
     case 'text': return checkText(entry, schema, reject)
@@ -42,7 +42,7 @@
   if (typeof text !== 'string') return reject(typeof text === 'number' || typeof text === 'boolean' ? 'must be text: put it in quotes' : 'must be text')
   if (text.length < minLength) return reject(minLength === 1 ? 'must not be empty' : `must have at least ${minLength} characters`)
   if (text.length > maxLength) return reject(`must have at most ${maxLength} characters`)
-  return pattern === undefined || pattern.test(text) ? text : reject(`${JSON.stringify(text.slice(0, QUOTED))} does not match ${pattern.source}`)
+  return pattern === undefined || pattern.test(text) ? text : reject(`${JSON.stringify(text.slice(0, MAX_QUOTED_LENGTH))} does not match ${pattern.source}`)
 }
 
 function checkNumber (entry: Entry, { whole, min, max, unit }: Schema<'number'>, reject: Reject): number | undefined {
@@ -63,7 +63,7 @@
   if (entry.keys.size > maxKeys) return reject(`${entry.keys.size} names, over the limit of ${maxKeys}`)
   const values: Array<[string, unknown]> = []
   for (const [key, value] of entry.keys) {
-    if (!KEY.test(key)) reject(`${JSON.stringify(key.slice(0, QUOTED))} is not a name: letters, digits, and . _ - after the first, at most 100`, value)
+    if (!NAME_PATTERN.test(key)) reject(`${JSON.stringify(key.slice(0, MAX_QUOTED_LENGTH))} is not a name: letters, digits, and . _ - after the first, at most 100`, value)
     values.push([key, checkEntry(value, of, `${path}.${key}`, findings)])
   }
   return Object.fromEntries(values)
@@ -73,8 +73,8 @@
   if (entry.type !== 'map') return reject('must be a map of keys')
   for (const [key, value] of entry.keys) {
     if (Object.hasOwn(keys, key)) continue
-    const near = suggestWord(key, Object.keys(keys))
-    reject(`unknown key ${JSON.stringify(key.slice(0, QUOTED))}${near === undefined ? `; known are ${Object.keys(keys).join(', ')}` : `; did you mean ${near}?`}`, value)
+    const suggestion = suggestWord(key, Object.keys(keys))
+    reject(`unknown key ${JSON.stringify(key.slice(0, MAX_QUOTED_LENGTH))}${suggestion === undefined ? `; known are ${Object.keys(keys).join(', ')}` : `; did you mean ${suggestion}?`}`, value)
   }
   const values: Record<string, unknown> = {}
   for (const [key, schema] of Object.entries(keys)) {
--- a/src/config/check-in-steps.ts
+++ b/src/config/check-in-steps.ts
@@ -1,5 +1,5 @@
 import { Err, Ok, type Result } from 'ts-results'
-import { checkContradictions } from './check-contradictions.js'
+import { checkConsistency } from './check-consistency.js'
 import { checkEntry } from './check-entry.js'
 import type { CheckedFiles } from './checked-files.js'
 import type { Configuration } from './configuration.js'
@@ -10,7 +10,7 @@
 import { decodeFile } from './decode-file.js'
 import { maxFileBytes } from './max-file-bytes.js'
 
-const EMPTY: Entry = { type: 'map', keys: new Map(), place: { file: '', line: 1, column: 1 }, replaced: [] }
+const EMPTY_ENTRY: Entry = { type: 'map', keys: new Map(), location: { file: '', line: 1, column: 1 }, replaced: [] }
 
 /**
  * The merge and check of `checkFiles`, with a pause after each part of the work: thousands of files taken at one go
@@ -18,19 +18,19 @@
  */
 export function * checkInSteps (files: ReadonlyMap<string, string>): Generator<void, Result<CheckedFiles, readonly Finding[]>> {
   const findings: Finding[] = []
-  const roots: [Entry, ...Entry[]] = [EMPTY]
+  const roots: [Entry, ...Entry[]] = [EMPTY_ENTRY]
   for (const [file, text] of [...files].sort(([a], [b]) => a < b ? -1 : 1)) {
     if (Buffer.byteLength(text) > maxFileBytes) findings.push({ file, line: 1, column: 1, message: `over the limit of ${maxFileBytes} bytes: split it` })
     const parsed = decodeFile(file, text)
     if (parsed.err) findings.push(...parsed.val)
-    else if (parsed.val.type !== 'map') findings.push({ ...parsed.val.place, message: 'a file must be a map of keys' })
+    else if (parsed.val.type !== 'map') findings.push({ ...parsed.val.location, message: 'a file must be a map of keys' })
     else roots.push(parsed.val)
     yield
   }
   const root = yield * mergeEntries(roots)
   const configuration = checkEntry(root, configurationSchema, '', findings) as Omit<Configuration, 'version'>
   yield
-  if (findings.length === 0) findings.push(...checkContradictions(configuration, root))
+  if (findings.length === 0) findings.push(...checkConsistency(configuration, root))
   return findings.length > 0 ? Err(orderFindings(findings)) : Ok({ configuration, root })
 }
 
--- a/src/config/check-values.ts
+++ b/src/config/check-values.ts
@@ -1,5 +1,5 @@
 import { isDeepStrictEqual } from 'node:util'
-import { checkContradictions } from './check-contradictions.js'
+import { checkConsistency } from './check-consistency.js'
 import { checkEntry } from './check-entry.js'
 import type { Configuration } from './configuration.js'
 import { configurationSchema } from './configuration-schema.js'
@@ -10,47 +10,47 @@
 import type { ValueMap } from './value-map.js'
 
 /** Names checked between two pauses. */
-const STEP = 200
+const NAMES_PER_STEP = 200
 
-type Checked = Omit<Configuration, 'version'>
+type CheckedConfiguration = Omit<Configuration, 'version'>
 type MapSchema = Extract<KeySchema, { readonly type: 'map' }>
-type Known = WeakMap<object, unknown>
+type CheckedValues = WeakMap<object, unknown>
 
 /**
  * The configuration that a merged folder gives; undefined where anything is wrong with it, which `checkInSteps` then
  * says with its place. `known` keeps what each name came to, so that only names that have changed are checked again; one
  * to which no default was added is held once.
  */
-export function * checkValues (root: ValueMap, known: Known): Generator<void, Checked | undefined> {
+export function * checkValues (root: ValueMap, checkedValues: CheckedValues): Generator<void, CheckedConfiguration | undefined> {
   const schemas: Readonly<Record<string, KeySchema>> = configurationSchema.type === 'object' ? configurationSchema.keys : {}
-  const named: Record<string, ValueMap> = {}
+  const checkedMaps: Record<string, ValueMap> = {}
   const rest = new Map(Object.entries(root))
   for (const [key, value] of rest) {
     const schema = Object.hasOwn(schemas, key) ? schemas[key] : undefined
     if (schema?.type !== 'map' || !isValueMap(value)) continue
-    const checked = yield * checkNames(value, schema, known)
+    const checked = yield * checkMapValues(value, schema, checkedValues)
     if (checked === undefined) return undefined
-    named[key] = checked
+    checkedMaps[key] = checked
     rest.set(key, {})
   }
   const findings: Finding[] = []
   const entry = createEntry(Object.fromEntries(rest))
-  const configuration = { ...checkEntry(entry, configurationSchema, '', findings) as Checked, ...named }
+  const configuration = { ...checkEntry(entry, configurationSchema, '', findings) as CheckedConfiguration, ...checkedMaps }
   yield
-  return findings.length === 0 && checkContradictions(configuration, entry).length === 0 ? configuration : undefined
+  return findings.length === 0 && checkConsistency(configuration, entry).length === 0 ? configuration : undefined
 }
 
-function * checkNames (value: ValueMap, schema: MapSchema, known: Known): Generator<void, ValueMap | undefined> {
-  const names = Object.entries(value)
+function * checkMapValues (map: ValueMap, schema: MapSchema, checkedValues: CheckedValues): Generator<void, ValueMap | undefined> {
+  const names = Object.entries(map)
   if (names.length > schema.maxKeys) return undefined
-  const fresh = names.filter(([, of]) => !isValueMap(of) || !known.has(of))
-  for (let start = 0; start < fresh.length; start += STEP) {
-    const step = fresh.slice(start, start + STEP)
+  const unchecked = names.filter(([, value]) => !isValueMap(value) || !checkedValues.has(value))
+  for (let start = 0; start < unchecked.length; start += NAMES_PER_STEP) {
+    const step = unchecked.slice(start, start + NAMES_PER_STEP)
     const findings: Finding[] = []
     const checked = checkEntry(createEntry(Object.fromEntries(step)), schema, '', findings) as ValueMap
     if (findings.length > 0) return undefined
-    for (const [name, of] of step) known.set(of as object, isDeepStrictEqual(of, checked[name]) ? of : checked[name])
+    for (const [name, value] of step) checkedValues.set(value as object, isDeepStrictEqual(value, checked[name]) ? value : checked[name])
     yield
   }
-  return Object.fromEntries(names.map(([name, of]) => [name, known.get(of as object)]))
+  return Object.fromEntries(names.map(([name, value]) => [name, checkedValues.get(value as object)]))
 }
--- a/src/config/choose-service.ts
+++ b/src/config/choose-service.ts
@@ -4,10 +4,10 @@
 /** One of the services of a route, each as often as its weight says; undefined where all weights are 0. */
 export function chooseService (services: readonly WeightedService[], random: Random): string | undefined {
   const sum = services.reduce((total, { weight }) => total + weight, 0)
-  let left = random.next() * sum
+  let remaining = random.next() * sum
   for (const { service, weight } of services) {
-    left -= weight
-    if (weight > 0 && left < 0) return service
+    remaining -= weight
+    if (weight > 0 && remaining < 0) return service
   }
   return services.find(({ weight }) => weight > 0)?.service
 }
--- a/src/config/configuration-distribution.ts
+++ b/src/config/configuration-distribution.ts
@@ -20,23 +20,23 @@
 import { peerHandlerPoint } from '../peers/peer-handler-point.js'
 import { PeerLinks } from '../peers/peer-links.js'
 import type { StoredObject } from '../store/stored-object.js'
-import { ActingConfiguration } from './acting-configuration.js'
+import { ConfigurationLoader } from './configuration-loader.js'
 import { ConfigurationObjects } from './configuration-objects.js'
 import { hashContent } from './hash-content.js'
 import type { Manifest } from './manifest.js'
 import type { Pack } from './pack.js'
 
-const MESSAGE = 'configuration'
-const MESSAGE_TYPES = ['digest', 'ask head', 'head', 'ask parts', 'parts']
+const MESSAGE_TYPE = 'configuration'
+const KNOWN_VERSION_MESSAGES = ['digest', 'ask head', 'head', 'ask parts', 'parts']
 const TICK_PERIOD = 250
-const WATCHER_CHECK = 1_000
-const TICK_PEERS = 2
-const SPREAD_PEERS = 4
-const WATCHERS = 2
-const WATCH_WAIT = 5_000
+const WATCHER_CHECK_PERIOD = 1_000
+const PEERS_PER_TICK = 2
+const GOSSIP_FANOUT = 4
+const WATCHERS_PER_DOMAIN = 2
+const WATCH_TIMEOUT = 5_000
 const REREAD_PERIOD = 30_000
-const RETRY_PAUSE = 250
-const START_WAIT = 500
+const RETRY_DELAY = 250
+const MAX_START_WAIT = 500
 const PARALLEL_READS = 8
 
 const versionOptions = {
@@ -52,19 +52,19 @@
 @scoped(Lifecycle.ContainerScoped)
 export class ConfigurationDistribution implements Part {
   readonly extensions = [peerHandlerPoint.of({
-    type: MESSAGE,
+    type: MESSAGE_TYPE,
     handle: ({ body }, from) => this.handleMessage(body as VersionMessage<Pack>, from)
   })]
 
   private state: VersionState<Pack> = createVersionState()
   private running = true
-  private cancel = (): void => {}
-  private endStart = (): void => {}
-  private readonly started = new Promise<void>(resolve => { this.endStart = resolve })
+  private stopTicks = (): void => {}
+  private resolveStarted = (): void => {}
+  private readonly started = new Promise<void>(resolve => { this.resolveStarted = resolve })
 
   constructor (
     @inject(ConfigurationObjects) private readonly objects: ConfigurationObjects,
-    @inject(ActingConfiguration) private readonly acting: ActingConfiguration,
+    @inject(ConfigurationLoader) private readonly loader: ConfigurationLoader,
     @inject(Members) private readonly members: Members,
     @inject(PeerLinks) private readonly links: PeerLinks,
     @inject(PauseWatch) private readonly pauses: PauseWatch,
@@ -88,7 +88,7 @@
   }
 
   /** Takes a version that was accepted through this daemon, whose packs are at hand. */
-  takeAccepted (manifest: Pick<StoredObject<Manifest>, 'version' | 'value'>, packs: readonly Pack[]): void {
+  applyAccepted (manifest: Pick<StoredObject<Manifest>, 'version' | 'value'>, packs: readonly Pack[]): void {
     this.step({ type: 'read head', head: readHead(manifest), parts: packs })
   }
 
@@ -97,8 +97,8 @@
    * platform would otherwise be acted on although a peer knows better.
    */
   async start (): Promise<void> {
-    this.clock.after(START_WAIT, this.endStart)
-    this.cancel = this.clock.every(TICK_PERIOD, () => this.runTick())
+    this.clock.after(MAX_START_WAIT, this.resolveStarted)
+    this.stopTicks = this.clock.every(TICK_PERIOD, () => this.runTick())
     this.pauses.subscribe(() => this.runTick())
     this.runTick()
     void this.watch()
@@ -106,42 +106,42 @@
 
   async stop (): Promise<void> {
     this.running = false
-    this.cancel()
+    this.stopTicks()
   }
 
   private runTick (): void {
-    this.step({ type: 'tick', peers: this.choosePeers(TICK_PEERS) })
+    this.step({ type: 'tick', peers: this.choosePeers(PEERS_PER_TICK) })
   }
 
   private choosePeers (count: number): readonly string[] {
     const others = [...listOthers(this.members.all(), this.settings.instance)]
-    const drawn: string[] = []
-    while (drawn.length < count && others.length > 0) drawn.push(...others.splice(this.random.below(others.length), 1))
-    return drawn
+    const chosen: string[] = []
+    while (chosen.length < count && others.length > 0) chosen.push(...others.splice(this.random.below(others.length), 1))
+    return chosen
   }
 
   /** Messages of types that a later version of the program may bring are left alone. */
   private handleMessage (message: VersionMessage<Pack>, from: string): void {
-    if (MESSAGE_TYPES.includes(message?.type)) this.step({ type: 'message', from, message })
+    if (KNOWN_VERSION_MESSAGES.includes(message?.type)) this.step({ type: 'message', from, message })
   }
 
   private step (event: VersionEvent<Pack>): void {
     const { state, effects } = stepVersion(this.state, event, this.clock.now(), versionOptions)
     this.state = state
-    for (const effect of effects) this.run(effect)
+    for (const effect of effects) this.runEffect(effect)
   }
 
-  private run (effect: VersionEffect<Pack>): void {
+  private runEffect (effect: VersionEffect<Pack>): void {
     switch (effect.type) {
       case 'send': this.send(effect.to, effect.message); break
-      case 'spread': for (const peer of this.choosePeers(SPREAD_PEERS)) this.send(peer, effect.message); break
+      case 'spread': for (const peer of this.choosePeers(GOSSIP_FANOUT)) this.send(peer, effect.message); break
       case 'read parts': void this.readPacks(effect.hashes); break
       case 'act': void this.applyVersion(effect.head, effect.parts)
     }
   }
 
   private send (to: string, message: VersionMessage<Pack>): void {
-    this.links.send(to, { type: MESSAGE, body: message }, message.type === 'digest' ? MESSAGE : undefined)
+    this.links.send(to, { type: MESSAGE_TYPE, body: message }, message.type === 'digest' ? MESSAGE_TYPE : undefined)
   }
 
   /** Gives all that came in one step: a step for each would ask anew for the rest each time. */
@@ -160,37 +160,37 @@
 
   private async applyVersion (head: VersionHead, packs: readonly Pack[]): Promise<void> {
     await this.started
-    if (head.version === this.head?.version) await this.acting.take(head.version, packs.flatMap(({ files }) => files))
+    if (head.version === this.head?.version) await this.loader.load(head.version, packs.flatMap(({ files }) => files))
   }
 
   /** Only watchers hold a watch, and whoever knows no version yet. */
   private async watch (): Promise<void> {
     let revision = -1
-    let reread = 0
+    let nextReread = 0
     while (this.running) {
       if (this.head !== undefined && !this.isWatcher()) {
         revision = -1
-        await this.pause(WATCHER_CHECK)
+        await this.pause(WATCHER_CHECK_PERIOD)
         continue
       }
-      if (this.clock.now() >= reread) revision = -1
-      if (revision < 0) reread = this.clock.now() + REREAD_PERIOD
+      if (this.clock.now() >= nextReread) revision = -1
+      if (revision < 0) nextReread = this.clock.now() + REREAD_PERIOD
       revision = await this.watchOnce(revision)
-      if (revision < 0) await this.pause(this.random.spread(RETRY_PAUSE))
+      if (revision < 0) await this.pause(this.random.spread(RETRY_DELAY))
     }
   }
 
   /** Gives back the revision to go on from; -1, to read anew, where the watch failed or was silent. */
   private async watchOnce (revision: number): Promise<number> {
-    const seen = await this.objects.watchManifest(revision, WATCH_WAIT)
-    if (seen.err) return -1
-    if (seen.val.manifest?.value.format === 1) this.step({ type: 'read head', head: readHead(seen.val.manifest) })
-    return seen.val.revision
+    const batch = await this.objects.watchManifest(revision, WATCH_TIMEOUT)
+    if (batch.err) return -1
+    if (batch.val.manifest?.value.format === 1) this.step({ type: 'read head', head: readHead(batch.val.manifest) })
+    return batch.val.revision
   }
 
   private isWatcher (): boolean {
-    const beside = this.members.all().filter(({ instance }) => instance.failureDomain === this.settings.failureDomain).map(({ instance }) => instance.name)
-    return rankOwners(`${MESSAGE} ${this.settings.failureDomain}`, [...new Set([...beside, this.settings.instance])]).slice(0, WATCHERS).includes(this.settings.instance)
+    const domainMembers = this.members.all().filter(({ instance }) => instance.failureDomain === this.settings.failureDomain).map(({ instance }) => instance.name)
+    return rankOwners(`${MESSAGE_TYPE} ${this.settings.failureDomain}`, [...new Set([...domainMembers, this.settings.instance])]).slice(0, WATCHERS_PER_DOMAIN).includes(this.settings.instance)
   }
 
   private async pause (time: number): Promise<void> {
--- a/src/config/acting-configuration.ts
+++ b/src/config/configuration-loader.ts
@@ -11,24 +11,24 @@
 import type { PackedFile } from './packed-file.js'
 import { mergeValues } from './merge-values.js'
 import { readFileValue } from './read-file-value.js'
-import { showFinding } from './show-finding.js'
+import { formatFinding } from './format-finding.js'
 import type { ValueMap } from './value-map.js'
 
 /** Time after which work on files gives way to the loop, in ms. */
-const SLICE = 5
-const LOGGED_FINDINGS = 5
+const MAX_SLICE = 5
+const MAX_LOGGED_FINDINGS = 5
 
-type Checked = Omit<Configuration, 'version'>
+type CheckedConfiguration = Omit<Configuration, 'version'>
 
 /**
  * Turns the files of a version into the configuration that this daemon acts on. Files that haven't changed are neither
  * parsed nor checked again, and the work gives way to the loop every few ms.
  */
 @scoped(Lifecycle.ContainerScoped)
-export class ActingConfiguration {
-  private readonly values = new WeakMap<PackedFile, ValueMap>()
-  private readonly known = new WeakMap<object, unknown>()
-  private latest = 0
+export class ConfigurationLoader {
+  private readonly parsedFiles = new WeakMap<PackedFile, ValueMap>()
+  private readonly checkedValues = new WeakMap<object, unknown>()
+  private latestVersion = 0
 
   constructor (
     @inject(ConfigurationHolder) private readonly holder: ConfigurationHolder,
@@ -42,52 +42,52 @@
    * Acts on a version unless a later one comes while it is being read. One that this program can't read, because a
    * later one accepted it, is left alone: the daemon goes on with what it has and says so.
    */
-  async take (version: number, files: readonly PackedFile[]): Promise<void> {
-    this.latest = version
+  async load (version: number, files: readonly PackedFile[]): Promise<void> {
+    this.latestVersion = version
     const checked = await this.check(files)
-    if (this.latest !== version) return
+    if (this.latestVersion !== version) return
     if (checked.ok) {
       this.holder.offer({ version, ...checked.val })
       this.log.write('info', 'configuration', 'acts on a version', { version })
       return
     }
     this.metrics.count('configuration_unreadable_total')
-    this.log.write('error', 'configuration', 'can not read an accepted version', { version, findings: checked.val.slice(0, LOGGED_FINDINGS).map(showFinding) })
+    this.log.write('error', 'configuration', 'can not read an accepted version', { version, findings: checked.val.slice(0, MAX_LOGGED_FINDINGS).map(formatFinding) })
   }
 
   /**
    * Merges and checks files as `checkFiles` does, giving way to the loop every few ms. Where something is wrong, all
    * files are read anew with their places.
    */
-  async check (files: readonly PackedFile[]): Promise<Result<Checked, readonly Finding[]>> {
-    const configuration = await this.runSteps(this.checkKnown(files))
+  async check (files: readonly PackedFile[]): Promise<Result<CheckedConfiguration, readonly Finding[]>> {
+    const configuration = await this.runInSlices(this.checkParsed(files))
     if (configuration !== undefined) return Ok(configuration)
-    return (await this.runSteps(checkInSteps(new Map(files)))).map(({ configuration }) => configuration)
+    return (await this.runInSlices(checkInSteps(new Map(files)))).map(({ configuration }) => configuration)
   }
 
   /**
    * Keeps of each file its plain values alone: trees of entries with their places took 1.9 KB a caller, and were needed
    * only where a finding had to say its place.
    */
-  private * checkKnown (files: readonly PackedFile[]): Generator<void, Checked | undefined> {
+  private * checkParsed (files: readonly PackedFile[]): Generator<void, CheckedConfiguration | undefined> {
     const values: ValueMap[] = []
     for (const file of [...files].sort(([a], [b]) => a < b ? -1 : 1)) {
-      const value = this.values.get(file) ?? readFileValue(...file)
+      const value = this.parsedFiles.get(file) ?? readFileValue(...file)
       if (value === undefined) return undefined
-      this.values.set(file, value)
+      this.parsedFiles.set(file, value)
       values.push(value)
       yield
     }
-    return yield * checkValues(yield * mergeValues(values), this.known)
+    return yield * checkValues(yield * mergeValues(values), this.checkedValues)
   }
 
-  private async runSteps<T> (steps: Generator<void, T>): Promise<T> {
-    for (let since = performance.now(); ;) {
+  private async runInSlices<T> (steps: Generator<void, T>): Promise<T> {
+    for (let sliceStart = performance.now(); ;) {
       const step = steps.next()
       if (step.done === true) return step.value
-      if (performance.now() - since < SLICE) continue
+      if (performance.now() - sliceStart < MAX_SLICE) continue
       await new Promise(resolve => setImmediate(resolve))
-      since = performance.now()
+      sliceStart = performance.now()
     }
   }
 }
--- a/src/config/configuration-objects.ts
+++ b/src/config/configuration-objects.ts
@@ -11,14 +11,14 @@
 import type { Pack } from './pack.js'
 
 const MANIFEST_KIND = 'configuration'
-const MANIFEST = 'manifest'
+const MANIFEST_NAME = 'manifest'
 const PACK_KIND = 'configuration-pack'
-const MAX_TRIES = 5
+const MAX_ATTEMPTS = 5
 
 interface StoredPack { readonly at: number, readonly files: Pack['files'] }
 
 /** An object that may be deleted, at the version it had when that was decided. */
-interface Unused { readonly name: string, readonly version: number }
+interface UnusedPack { readonly name: string, readonly version: number }
 
 /** The configuration in the platform's objects: one manifest and its packs. */
 @scoped(Lifecycle.ContainerScoped)
@@ -29,17 +29,17 @@
   ) {}
 
   async readManifest (priority: CallPriority): Promise<Result<StoredObject<Manifest>, StoreError>> {
-    return await this.store.get<Manifest>(MANIFEST_KIND, MANIFEST, priority)
+    return await this.store.get<Manifest>(MANIFEST_KIND, MANIFEST_NAME, priority)
   }
 
   async writeManifest (manifest: Manifest, version: number): Promise<Result<StoredObject<Manifest>, StoreError>> {
-    return await this.store.put(MANIFEST_KIND, MANIFEST, manifest, version, 'operator')
+    return await this.store.put(MANIFEST_KIND, MANIFEST_NAME, manifest, version, 'operator')
   }
 
   /** Waits up to `wait` ms for a manifest newer than `revision`; -1 reads at once. */
   async watchManifest (revision: number, wait: number): Promise<Result<{ readonly revision: number, readonly manifest?: StoredObject<Manifest> }, StoreError>> {
     const batch = await this.store.watch<Manifest>(MANIFEST_KIND, revision, wait)
-    return batch.map(({ revision, changed }) => ({ revision, manifest: changed.find(({ name }) => name === MANIFEST) }))
+    return batch.map(({ revision, changed }) => ({ revision, manifest: changed.find(({ name }) => name === MANIFEST_NAME) }))
   }
 
   async readPack (hash: string, priority: CallPriority): Promise<Result<Pack, StoreError>> {
@@ -54,7 +54,7 @@
    */
   async writePack ({ hash, files }: Pack): Promise<Result<void, StoreError>> {
     let version = 0
-    for (let tries = 0; tries < MAX_TRIES; tries++) {
+    for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
       const written = await this.store.put<StoredPack>(PACK_KIND, hash, { at: this.clock.date(), files }, version, 'operator')
       if (written.ok) return Ok(undefined)
       if (written.val.type !== 'conflict') return written
@@ -64,8 +64,8 @@
   }
 
   /** Packs that `used` doesn't name and that were written before `before` (wall-clock ms), with their versions. */
-  async listUnused (used: ReadonlySet<string>, before: number): Promise<Result<readonly Unused[], StoreError>> {
-    const unused: Unused[] = []
+  async listUnused (used: ReadonlySet<string>, before: number): Promise<Result<readonly UnusedPack[], StoreError>> {
+    const unused: UnusedPack[] = []
     for await (const page of listPages<StoredPack>(this.store, PACK_KIND)) {
       if (page.err) return page
       unused.push(...page.val.filter(({ name, value }) => !used.has(name) && value.at < before).map(({ name, version }) => ({ name, version })))
@@ -73,7 +73,7 @@
     return Ok(unused)
   }
 
-  async deleteUnused (unused: readonly Unused[]): Promise<void> {
+  async deleteUnused (unused: readonly UnusedPack[]): Promise<void> {
     for (const { name, version } of unused) await this.store.delete(PACK_KIND, name, version, 'background')
   }
 }
--- a/src/config/configuration-reach.ts
+++ b/src/config/configuration-rollout.ts
@@ -10,17 +10,17 @@
 import { Members } from '../peers/members.js'
 import { PeerLinks } from '../peers/peer-links.js'
 import { ConfigurationHolder } from './configuration-holder.js'
-import type { Reach } from './reach.js'
+import type { RolloutStatus } from './rollout-status.js'
 
-const QUESTION = 'configuration reach'
-const ANSWER = 'configuration reach answer'
-const ANSWER_WAIT = 1_000
+const REQUEST_TYPE = 'configuration reach'
+const ANSWER_TYPE = 'configuration reach answer'
+const ANSWER_TIMEOUT = 1_000
 
 /** Asks the other daemons which version they act on, when an operator wants to know. */
 @scoped(Lifecycle.ContainerScoped)
-export class ConfigurationReach implements Part {
+export class ConfigurationRollout implements Part {
   readonly extensions: readonly Extension[]
-  private readonly questions: MemberQueries<number>
+  private readonly queries: MemberQueries<number>
 
   constructor (
     @inject(ConfigurationHolder) private readonly holder: ConfigurationHolder,
@@ -29,15 +29,15 @@
     @inject(tokens.settings) private readonly settings: Settings,
     @inject(tokens.clock) clock: Clock
   ) {
-    const tell = async (): Promise<{ readonly version: number }> => ({ version: holder.value.version })
-    this.questions = new MemberQueries({ links, clock, requestType: QUESTION, answerType: ANSWER, timeout: ANSWER_WAIT, handle: tell, read: ({ version }) => Number(version) })
-    this.extensions = this.questions.extensions
+    const answer = async (): Promise<{ readonly version: number }> => ({ version: holder.value.version })
+    this.queries = new MemberQueries({ links, clock, requestType: REQUEST_TYPE, answerType: ANSWER_TYPE, timeout: ANSWER_TIMEOUT, handle: answer, read: ({ version }) => Number(version) })
+    this.extensions = this.queries.extensions
   }
 
   /** Resolves when all known daemons have answered, or after a second. */
-  async read (version: number): Promise<Reach> {
+  async read (version: number): Promise<RolloutStatus> {
     const own = [this.settings.instance, this.holder.value.version] as const
-    const { answers, unresponsive: silent } = await this.questions.ask(listOthers(this.members.all(), this.settings.instance))
+    const { answers, unresponsive: silent } = await this.queries.ask(listOthers(this.members.all(), this.settings.instance))
     const versions = [own, ...answers]
     return {
       version,
@@ -48,4 +48,4 @@
   }
 }
 
-partRegistry.register({ name: 'configuration reach', part: ConfigurationReach, needs: ['peer links', 'members'] })
+partRegistry.register({ name: 'configuration reach', part: ConfigurationRollout, needs: ['peer links', 'members'] })
--- a/src/config/configuration-routes.ts
+++ b/src/config/configuration-routes.ts
@@ -11,15 +11,15 @@
 import type { ApplyOutcome } from './apply-outcome.js'
 import { ConfigurationDistribution } from './configuration-distribution.js'
 import { ConfigurationHolder } from './configuration-holder.js'
-import { ConfigurationReach } from './configuration-reach.js'
+import { ConfigurationRollout } from './configuration-rollout.js'
 import { ConfigurationWriter } from './configuration-writer.js'
 import type { FolderChange } from './folder-change.js'
 import type { Manifest } from './manifest.js'
-import { showFinding } from './show-finding.js'
+import { formatFinding } from './format-finding.js'
 
-const BODY_LIMIT = 8_000_000
-const SHOWN_FINDINGS = 100
-const TOLD_FINDINGS = 5
+const MAX_BODY_BYTES = 8_000_000
+const MAX_LISTED_FINDINGS = 100
+const MAX_DETAIL_FINDINGS = 5
 
 /** What operators do with the configuration: read it, its files and its history, change it, see where it is in force. */
 @scoped(Lifecycle.ContainerScoped)
@@ -28,7 +28,7 @@
     { method: 'get', path: '/operator/configuration', access: 'operator', handle: (_req, res) => sendJson(res, 200, this.holder.value) },
     { method: 'get', path: '/operator/configuration/files', access: 'operator', handle: (_req, res) => this.showFiles(res) },
     { method: 'get', path: '/operator/configuration/history', access: 'operator', handle: (_req, res) => this.showHistory(res) },
-    { method: 'get', path: '/operator/configuration/reach', access: 'operator', handle: async (req, res) => sendJson(res, 200, await this.reach.read(Number(req.query.version ?? this.holder.value.version))) },
+    { method: 'get', path: '/operator/configuration/reach', access: 'operator', handle: async (req, res) => sendJson(res, 200, await this.rollout.read(Number(req.query.version ?? this.holder.value.version))) },
     { method: 'put', path: '/operator/configuration', access: 'operator', handle: async (req, res) => await this.apply(req, res) }
   ] satisfies Route[]).map(route => routePoint.of(route))
 
@@ -36,7 +36,7 @@
     @inject(ConfigurationHolder) private readonly holder: ConfigurationHolder,
     @inject(ConfigurationDistribution) private readonly distribution: ConfigurationDistribution,
     @inject(ConfigurationWriter) private readonly writer: ConfigurationWriter,
-    @inject(ConfigurationReach) private readonly reach: ConfigurationReach
+    @inject(ConfigurationRollout) private readonly rollout: ConfigurationRollout
   ) {}
 
   private showFiles (res: Response): void {
@@ -49,8 +49,8 @@
   }
 
   private async apply (req: Request, res: Response): Promise<void> {
-    const body = await readBody(req, BODY_LIMIT)
-    if (body.err) return sendProblem(res, { status: 413, code: 'body-too-large', detail: `over the limit of ${BODY_LIMIT} bytes` })
+    const body = await readBody(req, MAX_BODY_BYTES)
+    if (body.err) return sendProblem(res, { status: 413, code: 'body-too-large', detail: `over the limit of ${MAX_BODY_BYTES} bytes` })
     const change = readChange(body.val.toString())
     if (change === undefined) return sendProblem(res, { status: 400, code: 'bad-change', detail: 'the body must be JSON with basedOn (a version), put (texts by file name), remove (file names) and by' })
     sendOutcome(res, change, await this.writer.apply(change))
@@ -60,9 +60,9 @@
 function readChange (text: string): FolderChange | undefined {
   try {
     const { basedOn, put = {}, remove = [], by = 'unnamed' } = JSON.parse(text)
-    const texts = typeof put === 'object' && put !== null && Object.entries(put).every(([name, text]) => name.endsWith('.yaml') && typeof text === 'string')
-    const names = Array.isArray(remove) && remove.every(name => typeof name === 'string')
-    return Number.isInteger(basedOn) && texts && names ? { basedOn, put, remove, by: String(by).slice(0, 100) } : undefined
+    const isPutValid = typeof put === 'object' && put !== null && Object.entries(put).every(([name, text]) => name.endsWith('.yaml') && typeof text === 'string')
+    const isRemoveValid = Array.isArray(remove) && remove.every(name => typeof name === 'string')
+    return Number.isInteger(basedOn) && isPutValid && isRemoveValid ? { basedOn, put, remove, by: String(by).slice(0, 100) } : undefined
   } catch {
     return undefined
   }
@@ -72,15 +72,15 @@
   switch (outcome.type) {
     case 'accepted': return sendJson(res, 200, { version: outcome.version, changed: outcome.changed })
     case 'unchanged': return sendJson(res, 200, { version: outcome.version, changed: [] })
-    case 'findings': return sendProblem(res, { status: 422, code: 'findings', detail: outcome.findings.slice(0, TOLD_FINDINGS).map(showFinding).join('; '), more: { count: outcome.findings.length, findings: outcome.findings.slice(0, SHOWN_FINDINGS) } })
-    case 'conflict': return sendProblem(res, { status: 409, code: 'version-conflict', detail: `it was based on version ${basedOn}, and the accepted one is ${outcome.version}; ${showDifference(outcome)}`, more: { version: outcome.version, files: outcome.files ?? null } })
+    case 'findings': return sendProblem(res, { status: 422, code: 'findings', detail: outcome.findings.slice(0, MAX_DETAIL_FINDINGS).map(formatFinding).join('; '), more: { count: outcome.findings.length, findings: outcome.findings.slice(0, MAX_LISTED_FINDINGS) } })
+    case 'conflict': return sendProblem(res, { status: 409, code: 'version-conflict', detail: `it was based on version ${basedOn}, and the accepted one is ${outcome.version}; ${showChangesSince(outcome)}`, more: { version: outcome.version, files: outcome.files ?? null } })
     case 'not sent': return sendProblem(res, { status: 503, code: 'not-accepted', detail: `it has not been accepted: ${outcome.reason}`, retryAfter: outcome.retryAfter === Infinity ? undefined : outcome.retryAfter, more: { outcome: 'not accepted' } })
     case 'unknown': return sendProblem(res, { status: 504, code: 'outcome-unknown', detail: `it is not known whether it was accepted: ${outcome.reason}; read the history before you try again`, more: { outcome: 'unknown' } })
     default: return failUnreachable(outcome)
   }
 }
 
-function showDifference ({ files, more }: Extract<ApplyOutcome, { type: 'conflict' }>): string {
+function showChangesSince ({ files, more }: Extract<ApplyOutcome, { type: 'conflict' }>): string {
   if (files === undefined) return 'the history does not reach back that far'
   return `since then ${files.join(', ')}${more > 0 ? ` and ${more} more` : ''} changed`
 }
--- a/src/config/configuration-schema.ts
+++ b/src/config/configuration-schema.ts
@@ -16,10 +16,10 @@
 const DAY = 24 * HOUR
 const MAX_CALLERS = 20_000
 const MAX_SERVICES = 1_000
-const MAX_TOKENS = 16
-const MAX_PLACED = 100
+const MAX_TOKENS_PER_CALLER = 16
+const MAX_PLACED_MODELS = 100
 const MAX_ROUTES = 20_000
-const MAX_SPLIT = 100
+const MAX_SERVICES_PER_ROUTE = 100
 const PATH_PREFIX = /^\/(.*\/)?$/
 const TOKEN_HASH = /^[0-9a-f]{64}$/
 
@@ -40,7 +40,7 @@
 const caller: KeySchemas<Caller> = {
   share: { type: 'number', unit: 'weight', whole: false, min: 0.001, max: 1_000_000, default: 1, doc: 'Weight of its share when all are busy.' },
   team: { type: 'text', minLength: 1, maxLength: 100, optional: true, doc: 'Team, desk or organisation that reports add it up under.' },
-  tokens: { type: 'list', maxItems: MAX_TOKENS, of: { type: 'text', pattern: TOKEN_HASH, doc: 'SHA-256 in lower-case hex.' }, doc: 'SHA-256 of each of its bearer tokens, in lower-case hex.' }
+  tokens: { type: 'list', maxItems: MAX_TOKENS_PER_CALLER, of: { type: 'text', pattern: TOKEN_HASH, doc: 'SHA-256 in lower-case hex.' }, doc: 'SHA-256 of each of its bearer tokens, in lower-case hex.' }
 }
 
 const limits: KeySchemas<Limits> = {
@@ -53,7 +53,7 @@
 }
 
 const placement: KeySchemas<Placement> = {
-  models: { type: 'list', maxItems: MAX_PLACED, of: { type: 'text', minLength: 1, doc: 'Name that the servers know it by.' }, doc: 'Models, adapters and versions to have loaded, the most important first.' },
+  models: { type: 'list', maxItems: MAX_PLACED_MODELS, of: { type: 'text', minLength: 1, doc: 'Name that the servers know it by.' }, doc: 'Models, adapters and versions to have loaded, the most important first.' },
   role: { type: 'text', minLength: 1, optional: true, doc: 'Role of the servers; theirs to choose where it is left out.' },
   checksFencing: { type: 'boolean', default: false, doc: 'Whether the servers refuse an order with an old fencing number.' },
   leaving: { type: 'list', maxItems: MAX_SERVICES, optional: true, of: { type: 'text', minLength: 1, doc: 'Name of an instance.' }, doc: 'Servers that are to get no new work.' }
@@ -73,7 +73,7 @@
 const route: KeySchemas<Route> = {
   host: { type: 'text', minLength: 1, doc: 'Value of the `Host` header.' },
   pathPrefix: { type: 'text', pattern: PATH_PREFIX, doc: 'Beginning of the path; it begins and ends with a slash. The longest that fits is taken.' },
-  services: { type: 'list', maxItems: MAX_SPLIT, of: { type: 'object', keys: weightedService, doc: 'One service.' }, doc: 'Services that its requests are split over.' },
+  services: { type: 'list', maxItems: MAX_SERVICES_PER_ROUTE, of: { type: 'object', keys: weightedService, doc: 'One service.' }, doc: 'Services that its requests are split over.' },
   streamed: { type: 'boolean', default: false, doc: 'Whether its answers are streams of events.' },
   idempotent: { type: 'boolean', default: false, doc: 'Whether a request may run more than once.' },
   resumable: { type: 'boolean', default: false, doc: 'Whether a stream may go on at another server after the last event that was relayed.' },
--- a/src/config/configuration-writer.ts
+++ b/src/config/configuration-writer.ts
@@ -6,7 +6,7 @@
 import { tokens } from '../kernel/tokens.js'
 import type { StoreError } from '../store/store-error.js'
 import type { StoredObject } from '../store/stored-object.js'
-import { ActingConfiguration } from './acting-configuration.js'
+import { ConfigurationLoader } from './configuration-loader.js'
 import { addChange } from './add-change.js'
 import type { ApplyOutcome } from './apply-outcome.js'
 import { ConfigurationDistribution } from './configuration-distribution.js'
@@ -21,11 +21,11 @@
 
 const HOUR = 3_600_000
 const SWEEP_PERIOD = 24 * HOUR
-const KEEP_UNUSED = HOUR
+const MIN_UNUSED_AGE = HOUR
 const RETRY_AFTER = 1_000
-const EMPTY: Manifest = { format: 1, packs: [], changes: [], swept: 0 }
+const EMPTY_MANIFEST: Manifest = { format: 1, packs: [], changes: [], swept: 0 }
 
-type Present = Pick<StoredObject<Manifest>, 'version' | 'value'>
+type CurrentManifest = Pick<StoredObject<Manifest>, 'version' | 'value'>
 
 /**
  * Accepts operators' changes: checks the whole folder as it would be, writes the packs that are new, and swaps the
@@ -41,32 +41,32 @@
   constructor (
     @inject(ConfigurationObjects) private readonly objects: ConfigurationObjects,
     @inject(ConfigurationDistribution) private readonly distribution: ConfigurationDistribution,
-    @inject(ActingConfiguration) private readonly acting: ActingConfiguration,
+    @inject(ConfigurationLoader) private readonly loader: ConfigurationLoader,
     @inject(tokens.clock) private readonly clock: Clock
   ) {}
 
   async apply (change: FolderChange): Promise<ApplyOutcome> {
-    const present = await this.readPresent()
-    if (present.err) return createNotSent(present.val)
-    if (present.val.version !== change.basedOn) return showConflict(present.val, change.basedOn)
-    const packs = await this.readPacks(present.val.value.packs)
+    const current = await this.readCurrent()
+    if (current.err) return createNotSent(current.val)
+    if (current.val.version !== change.basedOn) return createConflict(current.val, change.basedOn)
+    const packs = await this.readPacks(current.val.value.packs)
     if (packs.err) return createNotSent(packs.val)
     const files = new Map(packs.val.flatMap(pack => pack.files.map(file => [file[0], file])))
     const changed = applyChange(files, change)
-    if (changed.length === 0) return { type: 'unchanged', version: present.val.version }
-    const checked = await this.acting.check([...files.values()])
+    if (changed.length === 0) return { type: 'unchanged', version: current.val.version }
+    const checked = await this.loader.check([...files.values()])
     if (checked.err) return { type: 'findings', findings: checked.val }
-    return await this.writeSwap(present.val, splitPacks([...files.values()]), changed, change.by)
+    return await this.swapManifest(current.val, splitPacks([...files.values()]), changed, change.by)
   }
 
-  private async writeSwap ({ version, value: manifest }: Present, packs: readonly Pack[], changed: readonly string[], by: string): Promise<ApplyOutcome> {
+  private async swapManifest ({ version, value: manifest }: CurrentManifest, packs: readonly Pack[], changed: readonly string[], by: string): Promise<ApplyOutcome> {
     for (const pack of packs.filter(({ hash }) => !manifest.packs.includes(hash))) {
       const written = await this.objects.writePack(pack)
       if (written.err) return createNotSent(written.val)
     }
     const now = this.clock.date()
     const hashes = packs.map(({ hash }) => hash)
-    const unused = now - manifest.swept < SWEEP_PERIOD ? undefined : (await this.objects.listUnused(new Set([...hashes, ...manifest.packs]), now - KEEP_UNUSED)).unwrapOr(undefined)
+    const unused = now - manifest.swept < SWEEP_PERIOD ? undefined : (await this.objects.listUnused(new Set([...hashes, ...manifest.packs]), now - MIN_UNUSED_AGE)).unwrapOr(undefined)
     const id = randomUUID()
     const changes = addChange(manifest.changes, { id, basedOn: version, at: now, by, files: changed })
     const next: Manifest = { format: 1, packs: hashes, changes, swept: unused === undefined ? manifest.swept : now }
@@ -74,16 +74,16 @@
       read: async () => await this.objects.readManifest('operator'),
       write: async (value, basedOn) => await this.objects.writeManifest(value, basedOn)
     }, { value: next, basedOn: version, find: ({ version: at, value }) => findChange({ version: at, changes: value.changes }, { id, basedOn: version }) })
-    if (outcome.type === 'refused') return showConflict({ version: outcome.version, value: outcome.value ?? EMPTY }, version)
+    if (outcome.type === 'refused') return createConflict({ version: outcome.version, value: outcome.value ?? EMPTY_MANIFEST }, version)
     if (outcome.type !== 'accepted') return outcome
-    this.distribution.takeAccepted({ version: outcome.version, value: next }, packs)
+    this.distribution.applyAccepted({ version: outcome.version, value: next }, packs)
     if (unused !== undefined) void this.objects.deleteUnused(unused)
     return { type: 'accepted', version: outcome.version, changed }
   }
 
-  private async readPresent (): Promise<Result<Present, StoreError>> {
-    const present = await this.objects.readManifest('operator')
-    return present.err && present.val.type === 'missing' ? Ok({ version: 0, value: EMPTY }) : present
+  private async readCurrent (): Promise<Result<CurrentManifest, StoreError>> {
+    const current = await this.objects.readManifest('operator')
+    return current.err && current.val.type === 'missing' ? Ok({ version: 0, value: EMPTY_MANIFEST }) : current
   }
 
   /** The packs of the present manifest: those that this daemon acts on, and the rest from the platform. */
@@ -107,7 +107,7 @@
   return [...removed, ...changed.map(([name]) => name)].sort()
 }
 
-function showConflict ({ version, value }: Present, basedOn: number): ApplyOutcome {
+function createConflict ({ version, value }: CurrentManifest, basedOn: number): ApplyOutcome {
   const since = listChangedFiles(value.changes, basedOn)
   return { type: 'conflict', version, files: since?.files, more: since?.more ?? 0 }
 }
--- a/src/config/finding.ts
+++ b/src/config/finding.ts
@@ -1,6 +1,6 @@
-import type { Place } from './place.js'
+import type { SourceLocation } from './source-location.js'
 
 /** One thing that is wrong in a file, with its place. Findings are collected and reported together. */
-export interface Finding extends Place {
+export interface Finding extends SourceLocation {
   readonly message: string
 }
--- a/src/config/list-key-changes.ts
+++ b/src/config/list-key-changes.ts
@@ -9,14 +9,14 @@
   return [...new Set([...old.keys(), ...next.keys()])].sort().flatMap(key => {
     const [from, to] = [old.get(key), next.get(key)]
     if (from?.json === to?.json) return []
-    return [{ key, ...(to ?? from)!.place, before: from?.json, after: to?.json }]
+    return [{ key, ...(to ?? from)!.location, before: from?.json, after: to?.json }]
   })
 }
 
-interface Leaf { readonly json: string, readonly place: Entry['place'] }
+interface Leaf { readonly json: string, readonly location: Entry['location'] }
 
 function indexLeaves (entry: Entry, path = '', leaves = new Map<string, Leaf>()): ReadonlyMap<string, Leaf> {
-  if (entry.type !== 'map') return leaves.set(path, { json: JSON.stringify(readValue(entry)), place: entry.place })
+  if (entry.type !== 'map') return leaves.set(path, { json: JSON.stringify(readValue(entry)), location: entry.location })
   for (const [key, value] of entry.keys) indexLeaves(value, path === '' ? key : `${path}.${key}`, leaves)
   return leaves
 }
--- a/src/config/merge-values.ts
+++ b/src/config/merge-values.ts
@@ -2,7 +2,7 @@
 import type { ValueMap } from './value-map.js'
 
 /** Maps merged between two pauses. */
-const STEP = 200
+const MAPS_PER_STEP = 200
 
 /**
  * Merges maps as `mergeEntries` does, the latest last: maps key by key, and anything else replaces what came before
@@ -17,7 +17,7 @@
       else if (isValueMap(value)) group.push(value)
       else groups.set(key, [value])
     }
-    if (i % STEP === STEP - 1) yield
+    if (i % MAPS_PER_STEP === MAPS_PER_STEP - 1) yield
   }
   const merged: Array<[string, unknown]> = []
   for (const [key, group] of groups) {
--- a/src/config/read-default.ts
+++ b/src/config/read-default.ts
@@ -2,12 +2,12 @@
 import type { KeySchema } from './key-schema.js'
 
 /** What a key holds when it is left out, given the keys before it; undefined where it must be set or stays absent. */
-export function readDefault (schema: KeySchema, beside: Readonly<Record<string, unknown>> = {}): unknown {
+export function readDefault (schema: KeySchema, siblings: Readonly<Record<string, unknown>> = {}): unknown {
   switch (schema.type) {
     case 'text':
     case 'number':
     case 'choice': return schema.default
-    case 'boolean': return schema.default ?? schema.defaultBy?.values[String(beside[schema.defaultBy.key])]
+    case 'boolean': return schema.default ?? schema.defaultBy?.values[String(siblings[schema.defaultBy.key])]
     case 'list': return undefined
     case 'map': return {}
     case 'object': return readDefaults(schema.keys)
--- a/src/config/reach.ts
+++ b/src/config/rollout-status.ts
@@ -1,5 +1,5 @@
 /** Which of the known daemons act on a version or a higher one, which on a lower one, and which don't answer. */
-export interface Reach {
+export interface RolloutStatus {
   readonly version: number
   readonly acting: readonly string[]
   readonly behind: ReadonlyArray<{ readonly instance: string, readonly version: number }>
--- a/src/config/settings-schema.ts
+++ b/src/config/settings-schema.ts
@@ -4,7 +4,7 @@
 import type { KeySchemas } from './key-schemas.js'
 
 const MAX_PORT = 65_535
-const MIN_SECRET = 16
+const MIN_SECRET_LENGTH = 16
 const MAX_SEEDS = 32
 const PLATFORM_URL = /^https?:\/\/[^/?#]+(\/[^?#]*)?$/
 
@@ -39,8 +39,8 @@
   listen: { type: 'object', keys: listen, doc: 'Where the daemon listens.' },
   address: { type: 'text', minLength: 1, optional: true, doc: 'Address at which callers and other daemons reach this instance; `listen.host` where it is left out.' },
   platform: { type: 'text', pattern: PLATFORM_URL, doc: 'Base address of the platform\'s object API.' },
-  peerKey: { type: 'text', minLength: MIN_SECRET, doc: 'Secret shared by the daemons, which proves a peer.' },
-  operatorToken: { type: 'text', minLength: MIN_SECRET, doc: 'Token that operators present.' },
+  peerKey: { type: 'text', minLength: MIN_SECRET_LENGTH, doc: 'Secret shared by the daemons, which proves a peer.' },
+  operatorToken: { type: 'text', minLength: MIN_SECRET_LENGTH, doc: 'Token that operators present.' },
   dataFolder: { type: 'text', minLength: 1, optional: true, doc: 'Folder for bulk data on instances that have a disk.' },
   batchPolicy: { type: 'object', optional: true, keys: batchPolicy, doc: 'How batch work shares servers with online requests.' },
   seeds: { type: 'list', maxItems: MAX_SEEDS, optional: true, of: { type: 'object', keys: seed, doc: 'One daemon.' }, doc: 'Other daemons to ask when this one starts while the platform is out; a few in other failure domains are enough.' },
--- a/src/config/place.ts
+++ b/src/config/source-location.ts
@@ -1,5 +1,5 @@
 /** Where something stands in a file; lines and columns count from 1. */
-export interface Place {
+export interface SourceLocation {
   readonly file: string
   readonly line: number
   readonly column: number
--- a/src/config/split-packs.ts
+++ b/src/config/split-packs.ts
@@ -3,8 +3,8 @@
 import type { PackedFile } from './packed-file.js'
 
 /** A pack has this many files on average. */
-const MEAN_FILES = 32
-const MAX_BYTES = 250_000
+const MEAN_FILES_PER_PACK = 32
+const MAX_PACK_BYTES = 250_000
 
 /**
  * Splits a folder into packs, in the order of names. Where a pack begins follows from the name of its first file
@@ -16,7 +16,7 @@
   let bytes = Infinity
   for (const file of [...files].sort(([a], [b]) => a < b ? -1 : 1)) {
     const size = Buffer.byteLength(file[1])
-    if (bytes + size > MAX_BYTES || isBorder(file[0])) {
+    if (bytes + size > MAX_PACK_BYTES || isPackStart(file[0])) {
       packs.push([])
       bytes = 0
     }
@@ -26,6 +26,6 @@
   return packs.map(packed => ({ hash: hashContent(packed), files: packed }))
 }
 
-function isBorder (name: string): boolean {
-  return parseInt(hashContent(name).slice(0, 8), 16) % MEAN_FILES === 0
+function isPackStart (name: string): boolean {
+  return parseInt(hashContent(name).slice(0, 8), 16) % MEAN_FILES_PER_PACK === 0
 }
--- a/src/config/write-key-table.ts
+++ b/src/config/write-key-table.ts
@@ -31,7 +31,7 @@
       return { ...base, fallback, bounds: bounds.filter(Boolean).join(', ') }
     }
     case 'number': return { ...base, type: schema.whole ? 'whole number' : 'number', unit: schema.unit, fallback: String(schema.default ?? base.fallback), bounds: `${schema.min} to ${schema.max}` }
-    case 'boolean': return { ...base, fallback: showBoolean(schema, base.fallback) }
+    case 'boolean': return { ...base, fallback: showBooleanDefault(schema, base.fallback) }
     case 'choice': return { ...base, fallback: schema.default ?? base.fallback, bounds: schema.of.join(', ') }
     case 'list': return { ...base, bounds: `at most ${schema.maxItems}` }
     case 'map': return { ...base, fallback: 'empty', bounds: `at most ${schema.maxKeys}` }
@@ -40,7 +40,7 @@
   }
 }
 
-function showBoolean ({ default: fallback, defaultBy }: Extract<KeySchema, { type: 'boolean' }>, otherwise: string): string {
+function showBooleanDefault ({ default: fallback, defaultBy }: Extract<KeySchema, { type: 'boolean' }>, otherwise: string): string {
   if (defaultBy === undefined) return String(fallback ?? otherwise)
   return Object.entries(defaultBy.values).map(([value, then]) => `${then} where ${defaultBy.key} is ${value}`).join(', ')
 }
--- a/test/config/check-files.test.ts
+++ b/test/config/check-files.test.ts
@@ -6,7 +6,7 @@
 import { emptyConfiguration } from '../../src/config/empty-configuration.js'
 import { listKeys } from '../../src/config/list-keys.js'
 import { settingsSchema } from '../../src/config/settings-schema.js'
-import { showFinding } from '../../src/config/show-finding.js'
+import { formatFinding } from '../../src/config/format-finding.js'
 import { writeKeyTable } from '../../src/config/write-key-table.js'
 
 const HASH = 'a'.repeat(64)
@@ -15,7 +15,7 @@
 
 function findings (files: Record<string, string>): readonly string[] {
   const checked = check(files)
-  return checked.ok ? [] : checked.val.map(showFinding)
+  return checked.ok ? [] : checked.val.map(formatFinding)
 }
 
 const cases: ReadonlyArray<readonly [string, Record<string, string>, readonly string[]]> = [
--- a/test/config/acting-configuration.test.ts
+++ b/test/config/configuration-loader.test.ts
@@ -3,14 +3,14 @@
 import fc from 'fast-check'
 import { setFlagsFromString } from 'node:v8'
 import { runInNewContext } from 'node:vm'
-import { ActingConfiguration } from '../../src/config/acting-configuration.js'
+import { ConfigurationLoader } from '../../src/config/configuration-loader.js'
 import { checkFiles } from '../../src/config/check-files.js'
 import { ConfigurationHolder } from '../../src/config/configuration-holder.js'
 import type { PackedFile } from '../../src/config/packed-file.js'
 import { Metrics } from '../../src/observe/metrics.js'
 
-function createActing (holder = new ConfigurationHolder()): ActingConfiguration {
-  return new ActingConfiguration(holder, new Metrics(), { write: () => {} })
+function createLoader (holder = new ConfigurationHolder()): ConfigurationLoader {
+  return new ConfigurationLoader(holder, new Metrics(), { write: () => {} })
 }
 
 const hashes = ['a', 'b', 'c'].map(letter => letter.repeat(64))
@@ -39,12 +39,12 @@
 test('a daemon that has seen other versions finds what checkFiles finds', async t => {
   let [right, wrong] = [0, 0]
   await fc.assert(fc.asyncProperty(fc.array(folder, { minLength: 1, maxLength: 4 }), async versions => {
-    const acting = createActing()
+    const loader = createLoader()
     const seen = new Map<string, PackedFile>()
     for (const files of versions) {
       const same = files.map(file => seen.get(file.join('\n')) ?? file)
       for (const file of same) seen.set(file.join('\n'), file)
-      const checked = await acting.check(same)
+      const checked = await loader.check(same)
       const expected = checkFiles(new Map(files)).map(({ configuration }) => configuration)
       t.deepEqual(checked.val, expected.val)
       if (expected.ok) right++
@@ -59,20 +59,20 @@
 test('a caller takes less than 1 KB of heap, its text and its place in every index included', async t => {
   setFlagsFromString('--expose-gc')
   const collect = runInNewContext('gc') as () => void
-  const measure = (): number => {
+  const measureHeap = (): number => {
     collect()
     collect()
     return process.memoryUsage().heapUsed
   }
   const writeFile = (file: number): PackedFile => [`${file}.yaml`, 'callers:\n' + Array.from({ length: 100 }, (_, i) => `  organisation-${file}-${i}:\n    share: 1\n    tokens: [a${String(file * 100 + i).padStart(63, '0')}]\n`).join('')]
   const holder = new ConfigurationHolder()
-  const acting = createActing(holder)
+  const loader = createLoader(holder)
   const first = Array.from({ length: 10 }, (_, file) => writeFile(file))
-  await acting.take(1, first)
-  const before = measure()
+  await loader.load(1, first)
+  const before = measureHeap()
   const files = [...first, ...Array.from({ length: 50 }, (_, file) => writeFile(file + 10))]
-  await acting.take(2, files)
-  const each = (measure() - before) / 5_000
+  await loader.load(2, files)
+  const each = (measureHeap() - before) / 5_000
   t.is(Object.keys(holder.value.callers).length, 6_000)
   t.true(each < 1_000, `${each} bytes a caller`)
 })
--- a/test/config/configuration-writer.test.ts
+++ b/test/config/configuration-writer.test.ts
@@ -1,6 +1,6 @@
 import 'reflect-metadata'
 import test from 'ava'
-import { ActingConfiguration } from '../../src/config/acting-configuration.js'
+import { ConfigurationLoader } from '../../src/config/configuration-loader.js'
 import type { ApplyOutcome } from '../../src/config/apply-outcome.js'
 import { ConfigurationDistribution } from '../../src/config/configuration-distribution.js'
 import { ConfigurationHolder } from '../../src/config/configuration-holder.js'
@@ -19,7 +19,7 @@
 const write = (deadline: number): string => `limits: { deadline: ${deadline} }\n`
 
 /** A store whose deletes a test can hold up. */
-class HeldStore extends MemoryStore {
+class InterceptingStore extends MemoryStore {
   beforeDelete: () => Promise<unknown> = async () => {}
 
   override async delete (kind: string, name: string, version: number): ReturnType<MemoryStore['delete']> {
@@ -28,16 +28,16 @@
   }
 }
 
-function start (): { store: HeldStore, clock: VirtualClock, apply: (basedOn: number, put: Record<string, string>, remove?: string[], by?: string) => Promise<ApplyOutcome>, manifest: () => Manifest } {
-  const store = new HeldStore()
+function start (): { store: InterceptingStore, clock: VirtualClock, apply: (basedOn: number, put: Record<string, string>, remove?: string[], by?: string) => Promise<ApplyOutcome>, manifest: () => Manifest } {
+  const store = new InterceptingStore()
   const clock = new VirtualClock()
   const packs = new Map<string, Pack>()
   const distribution = {
-    takeAccepted: (_manifest: unknown, accepted: readonly Pack[]) => { for (const pack of accepted) packs.set(pack.hash, pack) },
+    applyAccepted: (_manifest: unknown, accepted: readonly Pack[]) => { for (const pack of accepted) packs.set(pack.hash, pack) },
     findPack: (hash: string) => packs.get(hash)
   } as unknown as ConfigurationDistribution
-  const acting = new ActingConfiguration(new ConfigurationHolder(), new Metrics(), { write: () => {} })
-  const writer = new ConfigurationWriter(new ConfigurationObjects(store, clock), distribution, acting, clock)
+  const loader = new ConfigurationLoader(new ConfigurationHolder(), new Metrics(), { write: () => {} })
+  const writer = new ConfigurationWriter(new ConfigurationObjects(store, clock), distribution, loader, clock)
   return {
     store,
     clock,
--- a/test/config/distribution.test.ts
+++ b/test/config/distribution.test.ts
@@ -104,24 +104,24 @@
   const fleet = await start(t, 2)
   let version = await put(fleet, fleet.daemons[0]!, 0, 900)
   await fleet.setPlatformFaults({ lostReplies: 0.5, seed: 4 })
-  const said: Array<{ readonly by: string, readonly status: number }> = []
+  const responses: Array<{ readonly by: string, readonly status: number }> = []
   for (let round = 0; round < 6; round++) {
     await Promise.all(fleet.daemons.map(async (daemon, i) => {
       const by = `operator-${round}-${i}`
       const body = JSON.stringify({ basedOn: version, put: { 'limits.yaml': `limits: { deadline: ${1_000 + 10 * round + i} }\n` }, by })
       const answer = await request(`${fleet.url(daemon)}/operator/configuration`, { method: 'PUT', headers: { authorization: `Bearer ${fleet.operatorToken}` }, body })
       await answer.body.dump()
-      said.push({ by, status: answer.statusCode })
+      responses.push({ by, status: answer.statusCode })
     }))
     version = (await fleet.control('GET', '/objects/configuration/manifest')).version
   }
   const manifest = await fleet.control('GET', '/objects/configuration/manifest')
   const accepted: readonly string[] = manifest.value.changes.map(({ by }: { readonly by: string }) => by)
-  t.log(`answers: ${said.map(({ status }) => status).join(' ')}`)
-  for (const { by, status } of said) {
+  t.log(`answers: ${responses.map(({ status }) => status).join(' ')}`)
+  for (const { by, status } of responses) {
     if (status === 200) t.true(accepted.includes(by), `${by} was told that it is accepted`)
     if (status === 409 || status === 503) t.false(accepted.includes(by), `${by} was told that it is not accepted`)
   }
-  t.true(said.some(({ status }) => status === 200))
+  t.true(responses.some(({ status }) => status === 200))
   await fleet.waitUntil(async () => (await Promise.all(fleet.daemons.map(async daemon => await read(fleet, daemon)))).every(known => known === manifest.version))
 })
