--- a/src/config/check-consistency.ts
+++ b/src/config/check-consistency.ts
@@ -2,7 +2,7 @@
 import type { Entry } from './entry.js'
 import type { Finding } from './finding.js'
 
-/** What is wrong only when keys are seen together, whichever files they stand in. */
+/** Lists findings that involve several keys, which may be set in different files. */
 export function checkConsistency (configuration: Omit<Configuration, 'version'>, root: Entry): readonly Finding[] {
   const findings: Finding[] = []
   const reject = (path: readonly string[], message: string): void => {
@@ -21,12 +21,12 @@
   for (const [name, { kind, model }] of Object.entries(services)) {
     const path = ['services', name, 'model']
     if (kind === 'plain' && model !== undefined) reject(path, 'a plain service has no model')
-    if (kind === 'model' && model === undefined) reject(path, 'a service of the kind model needs one')
+    if (kind === 'model' && model === undefined) reject(path, 'a service of kind model requires a model')
     if (kind === 'model' && model !== undefined && !Object.hasOwn(models, model)) reject(path, `there is no model ${model}`)
   }
 }
 
-/** Two callers with one token would be one caller to the daemons: whoever came later in the map. */
+/** Rejects duplicate tokens: daemons identify a caller by its token, so two callers with one token can't be told apart. */
 function checkTokens ({ callers }: Omit<Configuration, 'version'>, reject: Reject): void {
   const owners = new Map<string, string>()
   for (const [name, { tokens }] of Object.entries(callers)) {
@@ -38,7 +38,7 @@
   }
 }
 
-/** The entry at `path`, or the nearest one above it. */
+/** Returns the entry at `path`, or its nearest ancestor that exists. */
 function findNearestEntry (entry: Entry, [key, ...rest]: readonly string[]): Entry {
   if (key === undefined || entry.type === 'scalar') return entry
   const next = entry.type === 'map' ? entry.keys.get(key) : entry.items[Number(key)]
--- a/src/config/check-entry.ts
+++ b/src/config/check-entry.ts
@@ -6,14 +6,14 @@
 import { suggestWord } from '../kernel/suggest-word.js'
 
 const NAME_PATTERN = /^[A-Za-z0-9][A-Za-z0-9._-]{0,99}$/
-/** Longest part of a wrong value that a finding quotes; a secret in the wrong place isn't spread further than that. */
+/** Longest part of an invalid value that a finding quotes, which limits how much of a misplaced secret is shown. */
 const MAX_QUOTED_LENGTH = 24
 
 type Schema<T extends KeySchema['type']> = Extract<KeySchema, { readonly type: T }>
 
 /**
- * Checks an entry against its schema and gives its value with the defaults filled in. Everything that is wrong is
- * pushed to `findings`; the value is of use only when none was.
+ * Checks an entry against its schema and returns its value with the defaults filled in. Problems are appended to
+ * `findings`; the value is valid only if none were.
  */
 export function checkEntry (entry: Entry, schema: KeySchema, path: string, findings: Finding[]): unknown {
   const reject = (message: string, at = entry): undefined => {
@@ -74,13 +74,13 @@
   for (const [key, value] of entry.keys) {
     if (Object.hasOwn(keys, key)) continue
     const suggestion = suggestWord(key, Object.keys(keys))
-    reject(`unknown key ${JSON.stringify(key.slice(0, MAX_QUOTED_LENGTH))}${suggestion === undefined ? `; known are ${Object.keys(keys).join(', ')}` : `; did you mean ${suggestion}?`}`, value)
+    reject(`unknown key ${JSON.stringify(key.slice(0, MAX_QUOTED_LENGTH))}${suggestion === undefined ? `; known keys are ${Object.keys(keys).join(', ')}` : `; did you mean ${suggestion}?`}`, value)
   }
   const values: Record<string, unknown> = {}
   for (const [key, schema] of Object.entries(keys)) {
     const value = entry.keys.get(key)
     const checked = value === undefined ? readDefault(schema, values) : checkEntry(value, schema, path === '' ? key : `${path}.${key}`, findings)
-    if (value === undefined && checked === undefined && schema.optional !== true) reject(`needs the key ${key}`)
+    if (value === undefined && checked === undefined && schema.optional !== true) reject(`missing key ${key}`)
     if (checked !== undefined) values[key] = checked
   }
   return values
--- a/src/config/check-files.ts
+++ b/src/config/check-files.ts
@@ -4,8 +4,8 @@
 import type { Finding } from './finding.js'
 
 /**
- * Merges files key by key in the order of their names and checks the whole. All findings of all files come
- * together, in the order of their places. Contradictions are looked for once nothing else is wrong.
+ * Merges files key by key in the order of their names and checks the result. Returns the findings of all files
+ * together, ordered by location. Consistency across keys is checked only if there are no other findings.
  *
  * @example
  * checkFiles(new Map([['10-models.yaml', 'models: {}'], ['20-limits.yaml', 'limits: { deadline: 5 }']])).val
--- a/src/config/check-in-steps.ts
+++ b/src/config/check-in-steps.ts
@@ -13,8 +13,8 @@
 const EMPTY_ENTRY: Entry = { type: 'map', keys: new Map(), location: { file: '', line: 1, column: 1 }, replaced: [] }
 
 /**
- * The merge and check of `checkFiles`, with a pause after each part of the work: thousands of files taken at one go
- * would hold the loop, and its symptom would be a gap in every stream of the daemon at each change.
+ * Merges and checks files like `checkFiles`, yielding after each step: handling thousands of files at once would block
+ * the event loop and stall every response stream of the daemon.
  */
 export function * checkInSteps (files: ReadonlyMap<string, string>): Generator<void, Result<CheckedFiles, readonly Finding[]>> {
   const findings: Finding[] = []
--- a/src/config/check-values.ts
+++ b/src/config/check-values.ts
@@ -9,7 +9,7 @@
 import type { KeySchema } from './key-schema.js'
 import type { ValueMap } from './value-map.js'
 
-/** Names checked between two pauses. */
+/** Names checked between two yields. */
 const NAMES_PER_STEP = 200
 
 type CheckedConfiguration = Omit<Configuration, 'version'>
@@ -17,9 +17,9 @@
 type CheckedValues = WeakMap<object, unknown>
 
 /**
- * The configuration that a merged folder gives; undefined where anything is wrong with it, which `checkInSteps` then
- * says with its place. `known` keeps what each name came to, so that only names that have changed are checked again; one
- * to which no default was added is held once.
+ * Checks a merged folder and returns its configuration; undefined if anything is wrong, for which `checkInSteps` then
+ * lists findings with their locations. `checkedValues` caches the checked value of each name, so that only changed names
+ * are checked again. A value that is unchanged by defaults is cached as itself, which saves a copy.
  */
 export function * checkValues (root: ValueMap, checkedValues: CheckedValues): Generator<void, CheckedConfiguration | undefined> {
   const schemas: Readonly<Record<string, KeySchema>> = configurationSchema.type === 'object' ? configurationSchema.keys : {}
--- a/src/config/checked-files.ts
+++ b/src/config/checked-files.ts
@@ -1,5 +1,5 @@
 import type { Configuration } from './configuration.js'
 import type { Entry } from './entry.js'
 
-/** A folder that holds together: its configuration, and the entries it was merged from, with their places. */
+/** A valid folder: its configuration, and the merged entries with their locations. */
 export interface CheckedFiles { readonly configuration: Omit<Configuration, 'version'>, readonly root: Entry }
--- a/src/config/choose-service.ts
+++ b/src/config/choose-service.ts
@@ -1,7 +1,7 @@
 import type { Random } from '../kernel/random.js'
 import type { WeightedService } from './weighted-service.js'
 
-/** One of the services of a route, each as often as its weight says; undefined where all weights are 0. */
+/** Picks one of the services of a route at random, in proportion to their weights; undefined if all weights are 0. */
 export function chooseService (services: readonly WeightedService[], random: Random): string | undefined {
   const sum = services.reduce((total, { weight }) => total + weight, 0)
   let remaining = random.next() * sum
--- a/src/config/configuration-distribution.ts
+++ b/src/config/configuration-distribution.ts
@@ -27,7 +27,9 @@
 import type { Pack } from './pack.js'
 
 const MESSAGE_TYPE = 'configuration'
+/** Types of version messages that this release handles; others are ignored. */
 const KNOWN_VERSION_MESSAGES = ['digest', 'ask head', 'head', 'ask parts', 'parts']
+// Times in ms.
 const TICK_PERIOD = 250
 const WATCHER_CHECK_PERIOD = 1_000
 const PEERS_PER_TICK = 2
@@ -45,9 +47,9 @@
 }
 
 /**
- * Brings accepted versions to this daemon and passes them on. Two daemons of each failure domain watch the platform;
- * all tell a few others when they learn a version, and each second their own version to two drawn at random, so that
- * a lost frame, a silent watch or an old read costs a second.
+ * Receives accepted versions and forwards them to other daemons. Two daemons of each failure domain watch the platform.
+ * Each daemon announces its version to four random peers when it changes, and to two every second, so that a lost
+ * message, an unresponsive watch or a stale read costs about a second.
  */
 @scoped(Lifecycle.ContainerScoped)
 export class ConfigurationDistribution implements Part {
@@ -73,7 +75,7 @@
     @inject(tokens.clock) private readonly clock: Clock
   ) {}
 
-  /** The manifest acted on, if any. */
+  /** Header of the newest version that this daemon holds in full, if any. */
   get head (): VersionHead | undefined {
     return this.state.head
   }
@@ -82,19 +84,19 @@
     return this.state.parts.get(hash)
   }
 
-  /** Files of the version acted on, by name. */
+  /** Texts of the files of that version, by name. */
   listFiles (): ReadonlyMap<string, string> {
     return new Map((this.head?.parts ?? []).flatMap(hash => this.findPack(hash)!.files))
   }
 
-  /** Takes a version that was accepted through this daemon, whose packs are at hand. */
+  /** Applies a version that was accepted through this daemon, with its packs. */
   applyAccepted (manifest: Pick<StoredObject<Manifest>, 'version' | 'value'>, packs: readonly Pack[]): void {
     this.step({ type: 'read head', head: readHead(manifest), parts: packs })
   }
 
   /**
-   * Nothing is acted on before the platform and a peer have answered, or for half a second: an old read of the
-   * platform would otherwise be acted on although a peer knows better.
+   * Starts the gossip ticks and the watch. No version is activated during the first half second, so that a newer one
+   * from a peer supersedes a stale read of the platform.
    */
   async start (): Promise<void> {
     this.clock.after(MAX_START_WAIT, this.resolveStarted)
@@ -120,7 +122,7 @@
     return chosen
   }
 
-  /** Messages of types that a later version of the program may bring are left alone. */
+  /** Ignores message types that a newer release may have added. */
   private handleMessage (message: VersionMessage<Pack>, from: string): void {
     if (KNOWN_VERSION_MESSAGES.includes(message?.type)) this.step({ type: 'message', from, message })
   }
@@ -144,7 +146,7 @@
     this.links.send(to, { type: MESSAGE_TYPE, body: message }, message.type === 'digest' ? MESSAGE_TYPE : undefined)
   }
 
-  /** Gives all that came in one step: a step for each would ask anew for the rest each time. */
+  /** Reports all packs that were read in one step: a step for each pack would request the missing ones again each time. */
   private async readPacks (hashes: readonly string[]): Promise<void> {
     const parts: Pack[] = []
     const queue = [...hashes]
@@ -163,7 +165,7 @@
     if (head.version === this.head?.version) await this.loader.load(head.version, packs.flatMap(({ files }) => files))
   }
 
-  /** Only watchers hold a watch, and whoever knows no version yet. */
+  /** Watches the platform while this daemon is a watcher of its failure domain or has no version yet. */
   private async watch (): Promise<void> {
     let revision = -1
     let nextReread = 0
@@ -180,7 +182,7 @@
     }
   }
 
-  /** Gives back the revision to go on from; -1, to read anew, where the watch failed or was silent. */
+  /** Returns the revision to continue from; -1, which reads again, if the watch failed. */
   private async watchOnce (revision: number): Promise<number> {
     const batch = await this.objects.watchManifest(revision, WATCH_TIMEOUT)
     if (batch.err) return -1
--- a/src/config/configuration-holder.ts
+++ b/src/config/configuration-holder.ts
@@ -3,8 +3,8 @@
 import { emptyConfiguration } from './empty-configuration.js'
 
 /**
- * The configuration this daemon acts on. It only moves to higher versions, so that neither an old read of the
- * platform nor a peer that lags can make an accepted configuration revert.
+ * Holds the active configuration of this daemon. Its version only increases, so that neither a stale read of the
+ * platform nor a lagging peer can revert an accepted configuration.
  */
 @scoped(Lifecycle.ContainerScoped)
 export class ConfigurationHolder {
@@ -15,7 +15,7 @@
     return this.configuration
   }
 
-  /** Resolves at once or when the first version is known. */
+  /** Resolves once the first version is active. */
   async waitForFirst (): Promise<void> {
     if (this.configuration.version > 0) return
     await new Promise<void>(resolve => {
@@ -26,7 +26,7 @@
     })
   }
 
-  /** Takes `next` if its version is higher than the present one; says whether it did. */
+  /** Activates `next` if its version is higher than the current one; returns whether it did. */
   offer (next: Configuration): boolean {
     if (next.version <= this.configuration.version) return false
     this.configuration = next
--- a/src/config/configuration-loader.ts
+++ b/src/config/configuration-loader.ts
@@ -14,15 +14,15 @@
 import { formatFinding } from './format-finding.js'
 import type { ValueMap } from './value-map.js'
 
-/** Time after which work on files gives way to the loop, in ms. */
+/** Longest time in ms that checking occupies the event loop before it yields. */
 const MAX_SLICE = 5
 const MAX_LOGGED_FINDINGS = 5
 
 type CheckedConfiguration = Omit<Configuration, 'version'>
 
 /**
- * Turns the files of a version into the configuration that this daemon acts on. Files that haven't changed are neither
- * parsed nor checked again, and the work gives way to the loop every few ms.
+ * Parses, merges and checks the files of an accepted version and activates the result on this daemon. Files that haven't
+ * changed are neither parsed nor checked again, and the work yields to the event loop every few ms.
  */
 @scoped(Lifecycle.ContainerScoped)
 export class ConfigurationLoader {
@@ -39,8 +39,8 @@
   }
 
   /**
-   * Acts on a version unless a later one comes while it is being read. One that this program can't read, because a
-   * later one accepted it, is left alone: the daemon goes on with what it has and says so.
+   * Activates a version unless a later one arrives while it is being checked. A version that this release can't read,
+   * because a newer release accepted it, is logged and skipped: the current configuration stays active.
    */
   async load (version: number, files: readonly PackedFile[]): Promise<void> {
     this.latestVersion = version
@@ -48,16 +48,16 @@
     if (this.latestVersion !== version) return
     if (checked.ok) {
       this.holder.offer({ version, ...checked.val })
-      this.log.write('info', 'configuration', 'acts on a version', { version })
+      this.log.write('info', 'configuration', 'configuration activated', { version })
       return
     }
     this.metrics.count('configuration_unreadable_total')
-    this.log.write('error', 'configuration', 'can not read an accepted version', { version, findings: checked.val.slice(0, MAX_LOGGED_FINDINGS).map(formatFinding) })
+    this.log.write('error', 'configuration', 'accepted configuration cannot be read', { version, findings: checked.val.slice(0, MAX_LOGGED_FINDINGS).map(formatFinding) })
   }
 
   /**
-   * Merges and checks files as `checkFiles` does, giving way to the loop every few ms. Where something is wrong, all
-   * files are read anew with their places.
+   * Merges and checks files as `checkFiles` does, yielding to the event loop every few ms. If anything is wrong, all
+   * files are parsed again to give each finding its location.
    */
   async check (files: readonly PackedFile[]): Promise<Result<CheckedConfiguration, readonly Finding[]>> {
     const configuration = await this.runInSlices(this.checkParsed(files))
@@ -65,10 +65,7 @@
     return (await this.runInSlices(checkInSteps(new Map(files)))).map(({ configuration }) => configuration)
   }
 
-  /**
-   * Keeps of each file its plain values alone: trees of entries with their places took 1.9 KB a caller, and were needed
-   * only where a finding had to say its place.
-   */
+  /** Caches only the plain values of each file: entries with locations take more memory, and only findings need them. */
   private * checkParsed (files: readonly PackedFile[]): Generator<void, CheckedConfiguration | undefined> {
     const values: ValueMap[] = []
     for (const file of [...files].sort(([a], [b]) => a < b ? -1 : 1)) {
--- a/src/config/configuration-objects.ts
+++ b/src/config/configuration-objects.ts
@@ -17,10 +17,10 @@
 
 interface StoredPack { readonly at: number, readonly files: Pack['files'] }
 
-/** An object that may be deleted, at the version it had when that was decided. */
+/** A pack that may be deleted, with its version at the time of that decision. */
 interface UnusedPack { readonly name: string, readonly version: number }
 
-/** The configuration in the platform's objects: one manifest and its packs. */
+/** Reads and writes the configuration in the platform's object store: one manifest and its packs. */
 @scoped(Lifecycle.ContainerScoped)
 export class ConfigurationObjects {
   constructor (
@@ -36,7 +36,7 @@
     return await this.store.put(MANIFEST_KIND, MANIFEST_NAME, manifest, version, 'operator')
   }
 
-  /** Waits up to `wait` ms for a manifest newer than `revision`; -1 reads at once. */
+  /** Waits up to `wait` ms for a manifest newer than `revision`; -1 returns the current one at once. */
   async watchManifest (revision: number, wait: number): Promise<Result<{ readonly revision: number, readonly manifest?: StoredObject<Manifest> }, StoreError>> {
     const batch = await this.store.watch<Manifest>(MANIFEST_KIND, revision, wait)
     return batch.map(({ revision, changed }) => ({ revision, manifest: changed.find(({ name }) => name === MANIFEST_NAME) }))
@@ -47,10 +47,9 @@
   }
 
   /**
-   * Makes sure that a pack is there and stays there until a swap that was based on the present manifest. A pack of
-   * the same content may be left from an earlier version, and be deleted as unused just before our swap: its symptom
-   * would be a manifest with a pack that nobody can read. Writing it again moves its version, at which alone it could
-   * be deleted.
+   * Stores a pack so that it stays until the manifest swap. A pack with the same content may remain from an earlier
+   * version and be deleted as unused just before the swap, which would leave a manifest with a missing pack. Writing it
+   * again changes its version, and the delete is conditional on the old version.
    */
   async writePack ({ hash, files }: Pack): Promise<Result<void, StoreError>> {
     let version = 0
@@ -63,7 +62,7 @@
     return Err({ type: 'unavailable', reason: 'others kept writing the same pack' })
   }
 
-  /** Packs that `used` doesn't name and that were written before `before` (wall-clock ms), with their versions. */
+  /** Lists packs that `used` doesn't name and that were written before `before` (wall-clock ms), with their versions. */
   async listUnused (used: ReadonlySet<string>, before: number): Promise<Result<readonly UnusedPack[], StoreError>> {
     const unused: UnusedPack[] = []
     for await (const page of listPages<StoredPack>(this.store, PACK_KIND)) {
--- a/src/config/configuration-rollout.ts
+++ b/src/config/configuration-rollout.ts
@@ -14,9 +14,10 @@
 
 const REQUEST_TYPE = 'configuration reach'
 const ANSWER_TYPE = 'configuration reach answer'
+/** In ms. */
 const ANSWER_TIMEOUT = 1_000
 
-/** Asks the other daemons which version they act on, when an operator wants to know. */
+/** Queries the other daemons for their active version when an operator requests the rollout status. */
 @scoped(Lifecycle.ContainerScoped)
 export class ConfigurationRollout implements Part {
   readonly extensions: readonly Extension[]
@@ -34,7 +35,7 @@
     this.extensions = this.queries.extensions
   }
 
-  /** Resolves when all known daemons have answered, or after a second. */
+  /** Resolves when all known daemons have answered, or after one second. */
   async read (version: number): Promise<RolloutStatus> {
     const own = [this.settings.instance, this.holder.value.version] as const
     const { answers, unresponsive: silent } = await this.queries.ask(listOthers(this.members.all(), this.settings.instance))
--- a/src/config/configuration-routes.ts
+++ b/src/config/configuration-routes.ts
@@ -21,7 +21,7 @@
 const MAX_LISTED_FINDINGS = 100
 const MAX_DETAIL_FINDINGS = 5
 
-/** What operators do with the configuration: read it, its files and its history, change it, see where it is in force. */
+/** Operator routes of the configuration: read it, its files, its history and its rollout status, and change it. */
 @scoped(Lifecycle.ContainerScoped)
 export class ConfigurationRoutes implements Part {
   readonly extensions = ([
--- a/src/config/configuration-writer.ts
+++ b/src/config/configuration-writer.ts
@@ -19,6 +19,7 @@
 import type { PackedFile } from './packed-file.js'
 import { splitPacks } from './split-packs.js'
 
+// Times in ms.
 const HOUR = 3_600_000
 const SWEEP_PERIOD = 24 * HOUR
 const MIN_UNUSED_AGE = HOUR
@@ -28,13 +29,13 @@
 type CurrentManifest = Pick<StoredObject<Manifest>, 'version' | 'value'>
 
 /**
- * Accepts operators' changes: checks the whole folder as it would be, writes the packs that are new, and swaps the
- * manifest on the version that the change was based on.
+ * Accepts operators' changes: checks the whole changed folder, writes the new packs, and swaps the manifest on condition
+ * that it still has the version that the change was based on.
  *
- * Once a day a swap also clears away packs out of use: those that the present manifest doesn't name and that are over
- * an hour old. Their versions are read before the swap and they are deleted after it, on those versions. A change
- * racing with it is either based on the version before (its swap is refused), or after (it has written its packs
- * again, so that the delete is refused); so no accepted manifest loses a pack.
+ * Once a day a swap also deletes unused packs: those over an hour old that neither the old nor the new manifest names.
+ * Their versions are read before the swap, and the deletes after it are conditional on those versions. A concurrent
+ * change is either based on the version before the swap (its own swap is refused) or after it (it has written its packs
+ * again, so the delete is refused), so no accepted manifest loses a pack.
  */
 @scoped(Lifecycle.ContainerScoped)
 export class ConfigurationWriter {
@@ -86,7 +87,7 @@
     return current.err && current.val.type === 'missing' ? Ok({ version: 0, value: EMPTY_MANIFEST }) : current
   }
 
-  /** The packs of the present manifest: those that this daemon acts on, and the rest from the platform. */
+  /** Returns the packs of the current manifest, from the version that this daemon holds if possible, else from the platform. */
   private async readPacks (hashes: readonly string[]): Promise<Result<readonly Pack[], StoreError>> {
     const packs: Pack[] = []
     for (const hash of hashes) {
@@ -99,7 +100,7 @@
   }
 }
 
-/** Changes `files` in place; gives back the names of those that differ now. */
+/** Changes `files` in place; returns the names of the files that changed. */
 function applyChange (files: Map<string, PackedFile>, { put, remove }: FolderChange): readonly string[] {
   const removed = remove.filter(name => files.delete(name))
   const changed = Object.entries(put).filter(([name, text]) => files.get(name)?.[1] !== text)
@@ -112,7 +113,7 @@
   return { type: 'conflict', version, files: since?.files, more: since?.more ?? 0 }
 }
 
-/** Before the swap nothing was accepted, whatever became of the calls. */
+/** Builds the outcome of a failure before the swap, when nothing can have been accepted. */
 function createNotSent (error: StoreError): ApplyOutcome {
   return { type: 'not sent', reason: 'reason' in error ? error.reason : error.type, retryAfter: error.type === 'limited' ? error.retryAfter : RETRY_AFTER }
 }
--- a/src/config/create-entry.ts
+++ b/src/config/create-entry.ts
@@ -3,7 +3,7 @@
 
 const BASE = { location: { file: '', line: 1, column: 1 }, replaced: [] }
 
-/** An entry for a plain value whose place isn't known. */
+/** Creates an entry for a plain value without a location. */
 export function createEntry (value: unknown): Entry {
   if (Array.isArray(value)) return { ...BASE, type: 'list', items: value.map(createEntry) }
   if (!isValueMap(value)) return { ...BASE, type: 'scalar', value }
--- a/src/config/decode-file.ts
+++ b/src/config/decode-file.ts
@@ -4,7 +4,7 @@
 import type { Finding } from './finding.js'
 import type { SourceLocation } from './source-location.js'
 
-/** Turns the nodes of one document into entries, collecting what can't be one. */
+/** Converts the YAML nodes of one document to entries and collects findings for unsupported nodes. */
 class EntryReader {
   readonly findings: Finding[] = []
 
@@ -19,7 +19,7 @@
     this.findings.push({ ...this.getLocation(offset), message })
   }
 
-  /** `at` is where to place the entry: at its key, where it has one. */
+  /** Converts a node; `offset` is its location: that of its key if it has one. */
   readEntry (node: ParsedNode | null, offset: number): Entry {
     const base = { location: this.getLocation(offset), replaced: [] }
     if (isMap(node)) return { ...base, type: 'map', keys: this.readKeys(node.items) }
@@ -28,16 +28,13 @@
     return { ...base, type: 'scalar', value: isScalar(node) ? node.value : null }
   }
 
-  /**
-   * Looks for keys that stand twice itself: the parser compares each key with all before it, which took half of the
-   * time of a file of 500 callers and would take nine tenths of one of 2,500.
-   */
+  /** Detects duplicate keys itself, since the parser's own check is quadratic in the number of keys. */
   private readKeys (pairs: ReadonlyArray<{ readonly key: unknown, readonly value: unknown }>): ReadonlyMap<string, Entry> {
     const keys = new Map<string, Entry>()
     const seen = new Set<unknown>()
     for (const { key, value } of pairs as ReadonlyArray<{ key: ParsedNode, value: ParsedNode | null }>) {
       if (!isScalar(key)) this.addFinding(key.range[0], 'a key must be a plain word')
-      else if (seen.has(key.value)) this.addFinding(key.range[0], 'Map keys must be unique')
+      else if (seen.has(key.value)) this.addFinding(key.range[0], 'duplicate key')
       else keys.set(String(key.value), this.readEntry(value, key.range[0]))
       if (isScalar(key)) seen.add(key.value)
     }
@@ -45,7 +42,7 @@
   }
 }
 
-/** Reads one YAML file; every error in it is a finding with its place. An empty file is an empty map. */
+/** Parses one YAML file; each error is a finding with its location. An empty file is an empty map. */
 export function decodeFile (file: string, text: string): Result<Entry, readonly Finding[]> {
   const lines = new LineCounter()
   const document = parseDocument(text, { lineCounter: lines, uniqueKeys: false })
--- a/src/config/find-change.ts
+++ b/src/config/find-change.ts
@@ -1,8 +1,8 @@
 import type { ManifestChange } from './manifest-change.js'
 
 /**
- * Looks for a change in the history of the version that is there now: the version it became; `absent` where another
- * change was accepted in its place or none yet; `untold` where the history doesn't reach back that far.
+ * Finds a change in the history of the current version. Returns the version that it became; `absent` if another change
+ * was accepted in its place, or none yet; `untold` if the history doesn't reach back that far.
  */
 export function findChange (current: { readonly version: number, readonly changes: readonly ManifestChange[] }, { id, basedOn }: { readonly id: string, readonly basedOn: number }): number | 'absent' | 'untold' {
   const { version, changes } = current
--- a/src/config/find-route.ts
+++ b/src/config/find-route.ts
@@ -1,7 +1,7 @@
 import type { Route } from './route.js'
 
 /**
- * The route of the host whose path prefix is the longest that begins `path`; undefined where there is none.
+ * Returns the route of the host with the longest path prefix that matches `path`; undefined if none matches.
  *
  * @example
  * findRoute(Object.values(configuration.routes ?? {}), 'desk.example', '/berths/7')
--- a/src/config/folder-change.ts
+++ b/src/config/folder-change.ts
@@ -1,7 +1,7 @@
-/** A change of the folder, made from the version `basedOn`. */
+/** A change of the folder relative to the version `basedOn`. */
 export interface FolderChange {
   readonly basedOn: number
-  /** Texts of files that are new or differ, by name. */
+  /** Texts of new and changed files, by name. */
   readonly put: Readonly<Record<string, string>>
   readonly remove: readonly string[]
   readonly by: string
--- a/src/config/format-finding.ts
+++ b/src/config/format-finding.ts
@@ -1,6 +1,6 @@
 import type { Finding } from './finding.js'
 
-/** A finding as compilers write it, so that editors find the place. */
+/** Formats a finding like a compiler error, so that editors can jump to its location. */
 export function formatFinding ({ file, line, column, message }: Finding): string {
   return `${file}:${line}:${column}: ${message}`
 }
--- a/src/config/is-value-map.ts
+++ b/src/config/is-value-map.ts
@@ -1,6 +1,6 @@
 import type { ValueMap } from './value-map.js'
 
-/** Tells a map from a list, a scalar, and the dates and bytes that YAML 1.1 knows as scalars. */
+/** Returns true for a map; false for a list or a scalar, including the dates and binary values of YAML 1.1. */
 export function isValueMap (value: unknown): value is ValueMap {
   return typeof value === 'object' && value !== null && Object.getPrototypeOf(value) === Object.prototype
 }
--- a/src/config/job-terms.ts
+++ b/src/config/job-terms.ts
@@ -1,9 +1,9 @@
-/** What a route promises the jobs that are submitted on it. Times in ms. */
+/** Terms for the jobs submitted on a route. Times in ms. */
 export interface JobTerms {
-  /** From the first submission until all results are due. */
+  /** Time from the first submission until all results are due. */
   readonly dueAfter: number
-  /** From the first submission until an item may be given up; 0 where it may not. */
+  /** Time from the first submission after which an item may be abandoned; 0 for never. */
   readonly giveUpAfter: number
-  /** Tokens of unfinished items that all callers together may have on the route; 0 for no limit. */
+  /** Most tokens of unfinished items on the route over all callers; 0 for no limit. */
   readonly maxWaitingTokens: number
 }
--- a/src/config/key-change.ts
+++ b/src/config/key-change.ts
@@ -1,9 +1,9 @@
 import type { SourceLocation } from './source-location.js'
 
-/** One merged key that differs between two folders; the place is where the side that has it last sets it. */
+/** A merged key that differs between two folders, with its location in the new folder, or in the old one if removed. */
 export interface KeyChange extends SourceLocation {
   readonly key: string
-  /** As JSON; undefined where the key isn't there. */
+  /** Value as JSON; undefined if the folder doesn't have the key. */
   readonly before?: string
   readonly after?: string
 }
--- a/src/config/limits.ts
+++ b/src/config/limits.ts
@@ -1,13 +1,13 @@
-/** Limits that hold for every caller. Sizes in bytes, times in ms. */
+/** Limits that apply to every caller. Sizes in bytes, times in ms. */
 export interface Limits {
   readonly bodyBytes: number
   readonly fileBytes: number
-  /** Longest wait for a place on a server before an online request is refused. */
+  /** Longest time an online request may queue for capacity before it is refused. */
   readonly queueWait: number
-  /** Longest time an online request may take in all. */
+  /** Longest total time of an online request. */
   readonly deadline: number
-  /** How long a caller may keep an answer of /v1/addresses. */
+  /** How long a caller may cache a response of /v1/addresses. */
   readonly addressKeep: number
-  /** How long a job and its results stay after they were read. */
+  /** How long a job and its results are kept after the results were read. */
   readonly resultKeep: number
 }
--- a/src/config/list-changed-files.ts
+++ b/src/config/list-changed-files.ts
@@ -1,6 +1,6 @@
 import type { ManifestChange } from './manifest-change.js'
 
-/** Names of the files changed since version `basedOn`, and how many more; undefined where the history is too short. */
+/** Lists the files changed since version `basedOn`, and the number not named; undefined if the history is too short. */
 export function listChangedFiles (changes: readonly ManifestChange[], basedOn: number): { readonly files: readonly string[], readonly more: number } | undefined {
   const first = changes.findIndex(change => change.basedOn === basedOn)
   if (first < 0) return undefined
--- a/src/config/list-key-changes.ts
+++ b/src/config/list-key-changes.ts
@@ -2,7 +2,7 @@
 import type { KeyChange } from './key-change.js'
 import { readValue } from './read-value.js'
 
-/** Every merged key whose value differs between two folders, in the order of the keys. */
+/** Lists the merged keys whose values differ between two folders, sorted by key. */
 export function listKeyChanges (before: Entry, after: Entry): readonly KeyChange[] {
   const old = indexLeaves(before)
   const next = indexLeaves(after)
--- a/src/config/manifest-change.ts
+++ b/src/config/manifest-change.ts
@@ -1,14 +1,14 @@
-/** One accepted change, as the manifest's history keeps it. */
+/** An accepted change in the manifest's history. */
 export interface ManifestChange {
-  /** Unique, so that its author finds it again when the reply to the swap was lost. */
+  /** Unique id, by which the writer can find the change if the reply to the swap was lost. */
   readonly id: string
-  /** The version it was made from; the one it became is the next change's `basedOn`, or the present version. */
+  /** The version that was changed; the resulting version is the `basedOn` of the next change, or the current version. */
   readonly basedOn: number
   /** Wall-clock ms. */
   readonly at: number
-  /** Who said to have made it. It is a claim, not proved beyond the operators' token. */
+  /** Author as stated in the request; only the operators' token is verified. */
   readonly by: string
-  /** Names of changed files, the first few of them, and how many more there were. */
+  /** Names of the first few changed files; `more` is the number of the others. */
   readonly files: readonly string[]
   readonly more: number
 }
--- a/src/config/merge-entries.ts
+++ b/src/config/merge-entries.ts
@@ -1,11 +1,11 @@
 import type { Entry } from './entry.js'
 
-/** Entries merged between two pauses. */
+/** Entries merged between two yields. */
 const ENTRIES_PER_STEP = 200
 
 /**
- * Entries of one key, the latest last, as one: maps are merged key by key, and anything else replaces what came
- * before it. Each key is visited once, whatever the number of files. It pauses now and then, see `checkInSteps`.
+ * Merges the entries of one key, ordered from oldest to newest: maps are merged key by key, and any other value replaces
+ * those before it. Each key is visited once, regardless of the number of files. Yields regularly, see `checkInSteps`.
  */
 export function * mergeEntries (entries: readonly [Entry, ...Entry[]]): Generator<void, Entry> {
   if (entries.length === 1) return entries[0]
@@ -27,7 +27,7 @@
   return { ...entries[start + 1]!, type: 'map', replaced, keys }
 }
 
-/** Appends in place: `callers` alone may be set by thousands of files. */
+/** Appends in place, since thousands of files may set the same key, such as `callers`. */
 function addToGroup (shared: Map<string, [Entry, ...Entry[]]>, key: string, first: Entry, value: Entry): void {
   const group = shared.get(key)
   if (group === undefined) shared.set(key, [first, value])
--- a/src/config/merge-values.ts
+++ b/src/config/merge-values.ts
@@ -1,12 +1,12 @@
 import { isValueMap } from './is-value-map.js'
 import type { ValueMap } from './value-map.js'
 
-/** Maps merged between two pauses. */
+/** Maps merged between two yields. */
 const MAPS_PER_STEP = 200
 
 /**
- * Merges maps as `mergeEntries` does, the latest last: maps key by key, and anything else replaces what came before
- * it. A value that one map alone has is given as it stands, so that it can be told to be the same as before.
+ * Merges maps, ordered from oldest to newest, as `mergeEntries` does: maps key by key, and any other value replaces those
+ * before it. A value that only one map has keeps its object identity, so that caches recognise it as unchanged.
  */
 export function * mergeValues (maps: readonly ValueMap[]): Generator<void, ValueMap> {
   const groups = new Map<string, unknown[]>()
--- a/src/config/packed-file.ts
+++ b/src/config/packed-file.ts
@@ -1,2 +1,2 @@
-/** One file of the operators' folder as it is kept: its name and its text. */
+/** A file of the operators' folder in a pack: its name and its text. */
 export type PackedFile = readonly [name: string, text: string]
--- a/src/config/placement.ts
+++ b/src/config/placement.ts
@@ -1,11 +1,11 @@
-/** What the backend servers of a pool are to have loaded and to be. */
+/** Desired state of the backend servers of a pool. */
 export interface Placement {
-  /** Models, adapters and versions by the names that the servers know them by, in the order of their importance. */
+  /** Models, adapters and versions to load, by the names that the servers use, most important first. */
   readonly models: readonly string[]
-  /** Role of the servers; theirs to choose where it is left out. */
+  /** Role of the servers; if omitted, each server chooses its own. */
   readonly role?: string
-  /** Whether the servers refuse an order with an old fencing number. */
+  /** Whether the servers refuse orders with an outdated fencing number. */
   readonly checksFencing: boolean
-  /** Servers, by instance name, that are to get no new work. */
+  /** Instance names of servers that receive no new work. */
   readonly leaving?: readonly string[]
 }
--- a/src/config/read-default.ts
+++ b/src/config/read-default.ts
@@ -1,7 +1,7 @@
 import { failUnreachable } from '../kernel/unreachable.js'
 import type { KeySchema } from './key-schema.js'
 
-/** What a key holds when it is left out, given the keys before it; undefined where it must be set or stays absent. */
+/** Returns the default of a key, given the sibling keys before it; undefined if the key is required or stays absent. */
 export function readDefault (schema: KeySchema, siblings: Readonly<Record<string, unknown>> = {}): unknown {
   switch (schema.type) {
     case 'text':
@@ -15,7 +15,7 @@
   }
 }
 
-/** An object has a default when each of its keys has one. */
+/** Returns the default of an object, which it has if each of its required keys has one. */
 function readDefaults (keys: Readonly<Record<string, KeySchema>>): unknown {
   const values: Record<string, unknown> = {}
   for (const [key, schema] of Object.entries(keys)) {
--- a/src/config/read-file-value.ts
+++ b/src/config/read-file-value.ts
@@ -4,7 +4,7 @@
 import { readValue } from './read-value.js'
 import type { ValueMap } from './value-map.js'
 
-/** What a file holds, without places; undefined where anything is wrong with it. */
+/** Parses a file to plain values without locations; undefined if anything is wrong with it. */
 export function readFileValue (file: string, text: string): ValueMap | undefined {
   if (Buffer.byteLength(text) > maxFileBytes) return undefined
   const entry = decodeFile(file, text)
--- a/src/config/read-settings.ts
+++ b/src/config/read-settings.ts
@@ -6,13 +6,13 @@
 import { decodeFile } from './decode-file.js'
 import { settingsSchema } from './settings-schema.js'
 
-/** Reads and checks a daemon's own settings; all findings come together. */
+/** Reads and checks a daemon's own settings; returns all findings together. */
 export function readSettings (file: string): Result<Settings, readonly Finding[]> {
   let text: string
   try {
     text = readFileSync(file, 'utf8')
   } catch (error) {
-    return Err([{ file, line: 1, column: 1, message: `can not be read: ${(error as Error).message}` }])
+    return Err([{ file, line: 1, column: 1, message: `cannot be read: ${(error as Error).message}` }])
   }
   const parsed = decodeFile(file, text)
   if (parsed.err) return parsed
--- a/src/config/read-value.ts
+++ b/src/config/read-value.ts
@@ -1,6 +1,6 @@
 import type { Entry } from './entry.js'
 
-/** The plain value of an entry, without its places. */
+/** Returns the plain value of an entry, without locations. */
 export function readValue (entry: Entry): unknown {
   switch (entry.type) {
     case 'scalar': return entry.value
--- a/src/config/rollout-status.ts
+++ b/src/config/rollout-status.ts
@@ -1,4 +1,4 @@
-/** Which of the known daemons act on a version or a higher one, which on a lower one, and which don't answer. */
+/** Which of the known daemons have activated a version or a newer one, which have an older one, and which don't answer. */
 export interface RolloutStatus {
   readonly version: number
   readonly acting: readonly string[]
--- a/src/config/route.ts
+++ b/src/config/route.ts
@@ -1,7 +1,7 @@
 import type { JobTerms } from './job-terms.js'
 import type { WeightedService } from './weighted-service.js'
 
-/** Which requests go to which services, by host and path, and how they may be treated. Times in ms. */
+/** Routes requests to services by host and path, and states how they may be handled. Times in ms. */
 export interface Route {
   readonly host: string
   /** Begins and ends with a slash. */
@@ -11,18 +11,18 @@
   readonly streamed: boolean
   /** Whether a request may run more than once. */
   readonly idempotent: boolean
-  /** Whether a stream may go on at another server after the last event that was relayed. */
+  /** Whether a stream may continue at another server after the last relayed event. */
   readonly resumable: boolean
-  /** Servers that may run one request. */
+  /** Most servers that may be tried for one request. */
   readonly attempts: number
-  /** Longest time that a caller is kept waiting for a whole answer; 0 for no limit of its own. */
+  /** Longest time until the whole answer; 0 for no limit specific to the route. */
   readonly timeout: number
-  /** Target for the answer, or for the first event of a stream. */
+  /** Latency target for the answer, or for the first event of a stream. */
   readonly target: number
-  /** How long callers of a stream wait without an event before they leave; they wait for as long as they say where it is left out. */
+  /** How long callers of a stream wait without an event before they disconnect; if omitted, only their own deadline applies. */
   readonly silence?: number
   /** 0 is the highest. */
   readonly priority: number
-  /** Terms of the jobs it takes; absent where it takes single requests. */
+  /** Terms of its jobs; absent for a route of single requests. */
   readonly jobs?: JobTerms
 }
--- a/src/config/source-location.ts
+++ b/src/config/source-location.ts
@@ -1,4 +1,4 @@
-/** Where something stands in a file; lines and columns count from 1. */
+/** A location in a file; lines and columns count from 1. */
 export interface SourceLocation {
   readonly file: string
   readonly line: number
--- a/src/config/split-packs.ts
+++ b/src/config/split-packs.ts
@@ -2,14 +2,13 @@
 import type { Pack } from './pack.js'
 import type { PackedFile } from './packed-file.js'
 
-/** A pack has this many files on average. */
 const MEAN_FILES_PER_PACK = 32
 const MAX_PACK_BYTES = 250_000
 
 /**
- * Splits a folder into packs, in the order of names. Where a pack begins follows from the name of its first file
- * alone (unless it would grow past `MAX_BYTES`), so that a file changed, added or removed changes one pack, or two
- * where it was itself the border, and all others keep their hash.
+ * Splits a folder into packs, in the order of file names. The start of a pack depends only on the name of its first file
+ * (unless a pack would exceed `MAX_PACK_BYTES`), so that changing, adding or removing a file changes one pack, or two if
+ * that file starts a pack, and all others keep their hash.
  */
 export function splitPacks (files: readonly PackedFile[]): readonly Pack[] {
   const packs: PackedFile[][] = []
--- a/src/config/value-map.ts
+++ b/src/config/value-map.ts
@@ -1,2 +1,2 @@
-/** A map of YAML as a plain value, without the places of its keys. */
+/** A YAML map as a plain value, without locations. */
 export type ValueMap = Readonly<Record<string, unknown>>
--- a/src/config/weighted-service.ts
+++ b/src/config/weighted-service.ts
@@ -1,6 +1,6 @@
-/** A service among those that a route splits its requests over. */
+/** One of the services that a route distributes its requests over. */
 export interface WeightedService {
   readonly service: string
-  /** Its part of the sum of all weights of the route. */
+  /** Relative weight among the services of the route. */
   readonly weight: number
 }
--- a/src/config/write-key-table.ts
+++ b/src/config/write-key-table.ts
@@ -3,7 +3,7 @@
 
 interface Row { readonly path: string, readonly type: string, readonly unit: string, readonly fallback: string, readonly bounds: string, readonly doc: string }
 
-/** The reference of a schema as a Markdown table, one line a key. */
+/** Writes the reference of a schema as a Markdown table, one row per key. */
 export function writeKeyTable (schema: KeySchema): string {
   const rows = listRows(schema, '').map(({ path, type, unit, fallback, bounds, doc }) => `| \`${path}\` | ${type} | ${unit} | ${fallback} | ${bounds} | ${doc} |`)
   return ['| key | type | unit | default | bounds | meaning |', '|---|---|---|---|---|---|', ...rows].join('\n')
--- a/test/config/check-command.test.ts
+++ b/test/config/check-command.test.ts
@@ -17,24 +17,24 @@
   return { code, text: String(out.read() ?? '').replaceAll(folder + '/', '') }
 }
 
-test('check: 0 and the winners of keys, 1 with findings', async t => {
+test('check: exits with 0 and shows which file sets each key, or with 1 and findings', async t => {
   t.deepEqual(await run({ 'a.yaml': 'limits: { deadline: 500, queueWait: 100 }', 'b.yaml': 'limits: { deadline: 600 }' }, folder => ['check', folder, '--keys']), {
     code: 0,
-    text: 'b.yaml:1:11: limits.deadline (over a.yaml)\na.yaml:1:26: limits.queueWait\n'
+    text: 'b.yaml:1:11: limits.deadline (overrides a.yaml)\na.yaml:1:26: limits.queueWait\n'
   })
-  t.deepEqual(await run({ 'a.yaml': 'limit: {}', 'b.yml': '' }, folder => ['check', folder]), { code: 1, text: 'b.yml:1:1: is not read: rename it so that it ends in .yaml\n' })
+  t.deepEqual(await run({ 'a.yaml': 'limit: {}', 'b.yml': '' }, folder => ['check', folder]), { code: 1, text: 'b.yml:1:1: ignored: rename it to end in .yaml\n' })
   t.is((await run({}, folder => ['check', folder + '/none'])).code, 1)
 })
 
-test('serve: wrong settings end it with 2 and every finding', async t => {
+test('serve: invalid settings exit with 2 and every finding', async t => {
   const { peerKey, ...rest } = { ...SETTINGS, operatorToken: 'short', listen: { ...SETTINGS.listen, port: 70_000 }, zone: 'd' }
   const { code, text } = await run({ 's.yaml': JSON.stringify(rest, null, 1) }, folder => ['serve', '--settings', join(folder, 's.yaml')])
   t.is(code, 2)
   t.deepEqual(text.trim().split('\n').map(line => line.replace(/^s\.yaml:\d+:\d+: /, '').split(';')[0]), [
     'unknown key "zone"',
     'listen.port: 70000 is out of bounds: 0 to 65535 (port)',
-    'needs the key peerKey',
+    'missing key peerKey',
     'operatorToken: must have at least 16 characters'
   ])
-  t.regex((await run({}, folder => ['serve', '--settings', join(folder, 'none.yaml')])).text, /^none\.yaml:1:1: can not be read: ENOENT/)
+  t.regex((await run({}, folder => ['serve', '--settings', join(folder, 'none.yaml')])).text, /^none\.yaml:1:1: cannot be read: ENOENT/)
 })
--- a/test/config/configuration-loader.test.ts
+++ b/test/config/configuration-loader.test.ts
@@ -34,9 +34,9 @@
 const text = fc.oneof({ weight: 9, arbitrary: content.map(value => JSON.stringify(value)) }, fc.constantFrom('', 'a: [', 'limits: &l {}\nmodels: *l', '%YAML 1.1\n---\nlimits: 2001-01-01', 'limits: {deadline: 500, deadline: 600}'))
 const folder = fc.array(text, { maxLength: 4 }).map(texts => texts.map((text, i): PackedFile => [`${i}.yaml`, text]))
 
-// What a daemon keeps from one version to the next is values without places; a folder that it takes for right although
-// `checkFiles` finds something in it would be in force and unreadable to the next daemon that starts.
-test('a daemon that has seen other versions finds what checkFiles finds', async t => {
+// Guards the cache of checked values: a folder that it accepts although `checkFiles` has findings would become active and
+// be unreadable to the next daemon that starts.
+test('a loader that has checked other versions returns the same findings as checkFiles', async t => {
   let [right, wrong] = [0, 0]
   await fc.assert(fc.asyncProperty(fc.array(folder, { minLength: 1, maxLength: 4 }), async versions => {
     const loader = createLoader()
@@ -54,9 +54,8 @@
   t.true(right > 300 && wrong > 300, `${right} right, ${wrong} wrong`)
 })
 
-// 6,800 organisations are known to every daemon. Held as parsed trees with their places they took 2.4 KB each, and
-// with the parser's garbage the heap went past its 64 MB.
-test('a caller takes less than 1 KB of heap, its text and its place in every index included', async t => {
+// Every daemon holds all callers of the fleet, thousands of them, within a limited heap.
+test('a caller takes less than 1 KB of heap, including its text and index entries', async t => {
   setFlagsFromString('--expose-gc')
   const collect = runInNewContext('gc') as () => void
   const measureHeap = (): number => {
--- a/test/config/configuration-writer.test.ts
+++ b/test/config/configuration-writer.test.ts
@@ -18,7 +18,7 @@
 const down = { type: 'unavailable', reason: 'outage' } as const
 const write = (deadline: number): string => `limits: { deadline: ${deadline} }\n`
 
-/** A store whose deletes a test can hold up. */
+/** A store that runs a callback before each delete. */
 class InterceptingStore extends MemoryStore {
   beforeDelete: () => Promise<unknown> = async () => {}
 
@@ -52,7 +52,7 @@
   return settled.version
 }
 
-test('a change of one file among 6,800 writes one pack and swaps one small manifest', async t => {
+test('changing one of 6,800 files writes one pack and swaps one small manifest', async t => {
   const { store, apply, manifest } = start()
   const hash = (i: number): string => i.toString(16).padStart(64, '0')
   const files = Object.fromEntries(Array.from({ length: CALLERS }, (_, i) => [`caller-${i}.yaml`, `callers: { caller-${i}: { share: 2, tokens: ['${hash(i)}'] } }\n`]))
@@ -69,7 +69,7 @@
   t.true(JSON.stringify(pack.value).length < 60_000)
 })
 
-test('of two operators racing, the later is told the version and the files that differ', async t => {
+test('the later of two concurrent changes is refused with the current version and the changed files', async t => {
   const { apply } = start()
   const first = await accept(apply(0, { 'a.yaml': write(500), 'b.yaml': '' }))
   const second = await accept(apply(first, { 'a.yaml': write(600) }))
@@ -78,10 +78,9 @@
   t.like(await apply(second, { 'a.yaml': 'limits: { deadline: 1 }' }), { type: 'findings' })
 })
 
-test('the reply to the swap is lost: accepted, or unknown while it may still land', async t => {
-  // The operator sees "accepted" for a change that is in force, and "unknown" for one that may yet be. What happens:
-  // the swap takes effect but its reply is lost; then one hangs in the network and lands after the read back. Why: a
-  // repeat on the same version would be a conflict with ourselves.
+test('a lost reply to the swap gives accepted, or unknown while the write may still take effect', async t => {
+  // The first swap takes effect but its reply is lost; the second is delayed in the network until after the read back.
+  // Reporting either as refused would make the operator repeat a change that conflicts with itself.
   const { store, apply, manifest } = start()
   const first = await accept(apply(0, { 'a.yaml': write(500) }))
   store.fault = ({ call, kind }) => call === 'put' && kind === 'configuration' ? { loseReply: lost } : 'none'
@@ -94,7 +93,7 @@
   t.is((await apply(second, { 'a.yaml': write(800) })).type, 'not sent')
 })
 
-test('the history names who changed what, and is bounded', async t => {
+test('the history lists the author and files of each change, and is bounded', async t => {
   const { apply, manifest } = start()
   let version = await accept(apply(0, Object.fromEntries(Array.from({ length: 20 }, (_, i) => [`${i}.yaml`, '']))))
   t.like(manifest().changes[0], { by: 'ann', more: 12 })
@@ -104,10 +103,9 @@
   t.deepEqual(await apply(1, { 'a.yaml': '' }), { type: 'conflict', version, files: undefined, more: 0 })
 })
 
-test('packs out of use go after a day, and a pack that a racing change takes up again stays', async t => {
-  // Operators see an accepted configuration that all daemons can read. What happens: one change clears an old pack
-  // away while another, based on that change, goes back to the old content between the swap and the delete. Why: the
-  // old pack is there, so a change that only checked for it would name a pack that is deleted a moment later.
+test('unused packs are deleted after a day, and a pack that a concurrent change reuses stays', async t => {
+  // One change deletes an unused pack while another, based on it, reverts to the old content between the swap and the
+  // delete. A change that only checked that the pack exists would reference a pack that is deleted a moment later.
   const { store, clock, apply, manifest } = start()
   const first = await accept(apply(0, { 'a.yaml': write(500) }))
   const [old] = manifest().packs
--- a/test/config/distribution.test.ts
+++ b/test/config/distribution.test.ts
@@ -26,9 +26,9 @@
 const read = async (fleet: Fleet, daemon: Daemon): Promise<number> => (await fleet.operator('GET', daemon, '/operator/configuration')).version
 const ask = async (fleet: Fleet, daemon: Daemon, path: string): Promise<number> => (await request(fleet.url(daemon) + path, { headers: { authorization: 'Bearer quay-desk-token' } })).statusCode
 
-test('a daemon started while the platform is out gets the configuration from its peers, and takes no callers before', async t => {
-  // Callers see "not-ready" at first and then whole service. What happens: a version is accepted, the platform goes
-  // out, and an instance is replaced. Why: a daemon that waited for the platform would stay out as long as it does.
+test('a daemon started during a platform outage gets the configuration from its peers and is not ready before', async t => {
+  // An instance is replaced while the platform is unavailable. A daemon that waited for the platform would not serve
+  // until the outage ends.
   const fleet = await start(t, 3)
   await fleet.addServer('tide-0', DOMAINS[0]!, { pool: 'tide-tables', kind: 'service' })
   t.is(await ask(fleet, fleet.daemons[0]!, '/v1/models'), 503)
@@ -44,10 +44,9 @@
   await t.throwsAsync(put(fleet, late, version, 800), { message: /not-accepted/ })
 })
 
-test('a change reaches all in seconds, and a daemon paused across it never goes back', async t => {
-  // The operator sees the change in force on all daemons; a paused one acts on the old version until it runs again and
-  // then on the new one. What happens: watches are silent, reads are old, one daemon stands still while versions are
-  // accepted. Why: it must hear of them from its peers at once, and must not take an old read for news.
+test('a change reaches all daemons in seconds, and a paused daemon never reverts to an older version', async t => {
+  // Watches are unresponsive, reads are stale, and one daemon is paused while a version is accepted. When it resumes, it
+  // must get the version from its peers at once and must not activate a stale read.
   const fleet = await start(t, 4)
   let version = await put(fleet, fleet.daemons[0]!, 0, 900)
   await fleet.waitUntil(async () => (await Promise.all(fleet.daemons.map(async daemon => await read(fleet, daemon)))).every(known => known === version))
@@ -57,18 +56,18 @@
   version = await put(fleet, fleet.daemons[0]!, version, 800)
   await fleet.waitUntil(async () => (await Promise.all(fleet.daemons.slice(0, 3).map(async daemon => await read(fleet, daemon)))).every(known => known === version))
   const reached = Date.now() - began
-  t.log(`silent watches: ${reached} ms until 3 daemons acted on it`)
+  t.log(`unresponsive watches: ${reached} ms until it was active on 3 daemons`)
   t.true(reached < LIMIT)
   await fleet.setPlatformFaults({ oldReads: { share: 1, lag: 60_000 } })
   fleet.daemons[3]!.child.signal('SIGCONT')
   await fleet.waitUntil(async () => await read(fleet, fleet.daemons[3]!) === version)
-  // While it stood still it was taken for dead; who is asked follows from who is seen.
+  // While paused it was considered dead, and only live members are queried.
   await fleet.waitForMembers()
   const reach = await fleet.operator('GET', fleet.daemons[0]!, `/operator/configuration/reach?version=${version}`)
   t.deepEqual(reach, { version, acting: ['entry-0', 'entry-1', 'entry-2', 'entry-3'], behind: [], silent: [] })
 })
 
-test('apply: shows the difference, accepts, and refuses what another change overtook', async t => {
+test('apply: shows the difference, accepts a change, and refuses one based on an older version', async t => {
   const fleet = await start(t, 2)
   const folder = mkdtempSync(join(tmpdir(), 'citronwheel-apply-'))
   t.teardown(() => rmSync(folder, { recursive: true }))
@@ -86,7 +85,7 @@
   t.is((await apply(900)).code, 2)
   const first = await apply(900, '--yes')
   t.is(first.code, 0, first.text)
-  t.regex(first.text, /2 daemons act on it/)
+  t.regex(first.text, /active on 2 daemons/)
   const shown = await apply(800, '--diff')
   t.regex(shown.text, /set {5}limits\.yaml\n {2}limits\.deadline: 900 -> 800 {2}\(limits\.yaml:1\)/)
   const { version } = await fleet.operator('GET', fleet.daemons[1]!, '/operator/configuration')
@@ -97,10 +96,9 @@
   t.regex((await run('history')).text, new RegExp(`^${version}  \\S+Z  \\S+  callers\\.yaml, limits\\.yaml, services\\.yaml\\n\\d+  \\S+Z  unnamed  limits\\.yaml\\n$`))
 })
 
-test('operators race through two daemons while replies to writes are lost: each answer is true', async t => {
-  // An operator sees "accepted", "conflict" or "unknown". What happens: two changes on one version come at once through
-  // two daemons, and half of the platform's replies to writes are lost after they took effect. Why: an answer from the
-  // version alone would call an accepted change refused, and its operator would make it twice.
+test('concurrent changes through two daemons while replies to writes are lost: each outcome is reported correctly', async t => {
+  // Two changes of one version are made at once through two daemons, and half of the platform's replies to writes are
+  // lost after the write. An outcome derived from the version alone would report an accepted change as refused.
   const fleet = await start(t, 2)
   let version = await put(fleet, fleet.daemons[0]!, 0, 900)
   await fleet.setPlatformFaults({ lostReplies: 0.5, seed: 4 })
@@ -119,8 +117,8 @@
   const accepted: readonly string[] = manifest.value.changes.map(({ by }: { readonly by: string }) => by)
   t.log(`answers: ${responses.map(({ status }) => status).join(' ')}`)
   for (const { by, status } of responses) {
-    if (status === 200) t.true(accepted.includes(by), `${by} was told that it is accepted`)
-    if (status === 409 || status === 503) t.false(accepted.includes(by), `${by} was told that it is not accepted`)
+    if (status === 200) t.true(accepted.includes(by), `${by} was reported as accepted`)
+    if (status === 409 || status === 503) t.false(accepted.includes(by), `${by} was reported as not accepted`)
   }
   t.true(responses.some(({ status }) => status === 200))
   await fleet.waitUntil(async () => (await Promise.all(fleet.daemons.map(async daemon => await read(fleet, daemon)))).every(known => known === manifest.version))
--- a/test/config/find-route.test.ts
+++ b/test/config/find-route.test.ts
@@ -23,7 +23,7 @@
   test(`${host} ${path} goes to ${prefix}`, t => { t.is(findRoute(routes, host, path)?.pathPrefix, prefix) })
 }
 
-test('requests are split by weight, and a weight of 0 gets none', t => {
+test('requests are distributed by weight, and a weight of 0 gets none', t => {
   const random = new Random(3)
   const counts = new Map<string | undefined, number>()
   for (let i = 0; i < 10_000; i++) {
