--- a/src/commands/account.ts
+++ b/src/commands/account.ts
@@ -4,14 +4,14 @@
 import { showBound } from '../report/show-bound.js'
 import { EntryCommand } from './entry-command.js'
 
-/** Shows what each caller asked for, got and was refused, over the whole fleet. */
+/** Shows the usage and refusals of each caller over the whole fleet. */
 export class AccountCommand extends EntryCommand {
   static override paths = [['account']]
   static override usage = Command.Usage({
     category: 'Operators',
-    description: 'show what each caller asked for, got and was refused',
-    details: 'Daemons that live are asked for what they have not written yet; the last lines say how many requests may lack, and whose. Exit codes: 0 shown; 1 refused; 2 wrong usage; 3 no daemon answered.',
-    examples: [['What one caller got since a day', 'citronwheel account --entry http://10.0.0.1:8080 --token TOKEN --caller quay-desk --since 2026-12-01']]
+    description: 'show the usage and refusals of each caller',
+    details: 'Includes what running daemons have not written yet; the last lines show how many requests may be missing, and from which runs. Exit codes: 0 shown; 1 refused; 2 wrong usage; 3 no daemon answered.',
+    examples: [['One caller since a given day', 'citronwheel account --entry http://10.0.0.1:8080 --token TOKEN --caller quay-desk --since 2026-12-01']]
   })
 
   caller = Option.String('--caller', { description: 'show this caller only' })
@@ -24,7 +24,7 @@
       ...Object.entries(rows).sort(([a], [b]) => a < b ? -1 : 1).map(([name, counts]) => formatCaller(name, counts)),
       showBound(mayMiss),
       ...silent.map(name => `${name} did not answer`),
-      ...whole ? [] : ['the platform could not be read: the figures are of the daemon asked only']
+      ...whole ? [] : ['the platform could not be read: the figures cover only the daemon that answered']
     ].join('\n'))
   }
 }
--- a/src/commands/apply.ts
+++ b/src/commands/apply.ts
@@ -15,7 +15,7 @@
 const POLL_PERIOD = 250
 const MS_PER_SECOND = 1_000
 
-/** What a folder changes against the version that is in force. */
+/** The changes that a folder makes to the active version. */
 interface Plan {
   readonly version: number
   readonly put: Readonly<Record<string, string>>
@@ -23,13 +23,13 @@
   readonly keys: readonly KeyChange[]
 }
 
-/** Makes a folder the accepted configuration. */
+/** Submits a folder as the new configuration and waits for its rollout. */
 export class ApplyCommand extends EntryCommand {
   static override paths = [['apply']]
   static override usage = Command.Usage({
     category: 'Operators',
-    description: 'make a folder the accepted configuration',
-    details: 'Checks the folder, shows the difference, swaps the version it was based on and waits until all daemons act on the new one. Exit codes: 0 accepted and in force on every daemon that is known, or nothing to change; 1 findings, or refused and not accepted; 2 wrong usage, or not confirmed; 3 no daemon answered, and nothing was sent; 4 another change came first; 5 accepted, but some daemons don\'t act on it yet; 6 not known whether it was accepted.',
+    description: 'submit a folder as the new configuration',
+    details: 'Checks the folder, shows the difference, replaces the version it was based on and waits until the new one is active on all daemons. Exit codes: 0 accepted and active on every known daemon, or nothing to change; 1 findings, or refused and not accepted; 2 wrong usage, or not confirmed; 3 no daemon answered, and nothing was sent; 4 another change was accepted first; 5 accepted, but not active on all daemons yet; 6 unknown whether it was accepted.',
     examples: [
       ['Show the difference only', 'citronwheel apply fleet/ --diff --entry http://10.0.0.1:8080 --token TOKEN'],
       ['Apply what was reviewed against version 812', 'citronwheel apply fleet/ --based-on 812 --yes --entry http://10.0.0.1:8080 --token TOKEN']
@@ -37,11 +37,11 @@
   })
 
   folder = Option.String({ required: true })
-  basedOn = Option.String('--based-on', { description: 'the version that the folder was made from; without it the one in force' })
-  yes = Option.Boolean('--yes', false, { description: 'do not ask' })
-  diff = Option.Boolean('--diff', false, { description: 'show the difference and change nothing' })
-  by = Option.String('--by', userInfo().username, { description: 'who makes the change, for the history' })
-  wait = Option.String('--wait', '10', { description: 'seconds to wait until all daemons act on it' })
+  basedOn = Option.String('--based-on', { description: 'the version that the folder was made from; the active one by default' })
+  yes = Option.Boolean('--yes', false, { description: 'apply without confirmation' })
+  diff = Option.Boolean('--diff', false, { description: 'show the difference without applying it' })
+  by = Option.String('--by', userInfo().username, { description: 'author of the change, for the history' })
+  wait = Option.String('--wait', '10', { description: 'longest wait until it is active on all daemons, in seconds' })
 
   async execute (): Promise<number> {
     const files = readYamlFiles(this.folder)
@@ -91,8 +91,8 @@
 
   private showRollout (version: number, reach: RolloutStatus | undefined, done: boolean): number {
     const lines = [`accepted as version ${version}`]
-    if (reach === undefined) lines.push('the daemon did not say which daemons act on it')
-    else lines.push(`${reach.acting.length} daemons act on it`, ...reach.behind.map(({ instance, version }) => `${instance} acts on ${version}`), ...reach.silent.map(name => `${name} does not answer`))
+    if (reach === undefined) lines.push('the daemon did not report where it is active')
+    else lines.push(`active on ${reach.acting.length} daemons`, ...reach.behind.map(({ instance, version }) => `${instance} is at version ${version}`), ...reach.silent.map(name => `${name} does not answer`))
     return this.write({ version, reach }, lines.join('\n'), done ? exitCodes.ok : exitCodes.behind)
   }
 
@@ -111,7 +111,7 @@
 
 function formatPlan ({ version, put, remove, keys }: Plan): string {
   const files = [...Object.keys(put).map(name => `  set     ${name}`), ...remove.map(name => `  remove  ${name}`)]
-  if (files.length === 0) return `nothing differs from version ${version}`
+  if (files.length === 0) return `no changes against version ${version}`
   const changes = keys.map(({ file, line, key, before = 'not set', after = 'not set' }) => `  ${key}: ${before} -> ${after}  (${file}:${line})`)
-  return [`against version ${version}:`, ...files, ...changes].join('\n')
+  return [`changes against version ${version}:`, ...files, ...changes].join('\n')
 }
--- a/src/commands/ask-members.ts
+++ b/src/commands/ask-members.ts
@@ -3,10 +3,10 @@
 import type { EntryError } from './entry-error.js'
 import type { FleetStatus } from './fleet-status.js'
 
-/** What each daemon of the fleet answered, and the names of those that didn't. */
+/** Answers of the daemons, and the names of those that didn't answer. */
 interface FleetAnswers<T> { readonly answers: readonly T[], readonly silent: readonly string[] }
 
-/** Asks every daemon that the first one knows. Daemons that don't answer are named, not left out silently. */
+/** Sends a GET request to every daemon in the member list of the daemon behind `client`. */
 export async function askMembers<T> (client: EntryClient, path: string, connect: (url: string) => EntryClient): Promise<Result<FleetAnswers<T>, EntryError>> {
   const status = await client.call<FleetStatus>('GET', '/operator/status')
   if (status.err) return status
--- a/src/commands/check-usage.ts
+++ b/src/commands/check-usage.ts
@@ -5,8 +5,8 @@
 type Environment = Readonly<Record<string, string | undefined>>
 
 /**
- * Says all that is wrong with words that name no command or lack something: every wrong word with the nearest right
- * one, every option and argument that is missing, a line each.
+ * Describes the usage errors of invalid arguments, one per line: unknown commands and options with the closest match,
+ * and missing options and arguments.
  *
  * @example
  * checkUsage(cli.definitions(), ['jobs', 'submt']) // 'there is no command jobs submt; did you mean jobs submit?'
@@ -23,7 +23,7 @@
   return path.split(' ').slice(1).filter(word => /^[a-z]/.test(word))
 }
 
-/** The names of an option, of which the library tells only how it is written, such as `-s,--since #0`. */
+/** Parses the names of an option from its usage text, such as `-s,--since #0`, which is all that clipanion exposes. */
 function listNames ({ definition }: CommandDefinition['options'][number]): readonly string[] {
   return definition.split(' ')[0]!.split(',')
 }
@@ -51,10 +51,10 @@
     ...required.slice(positionals.length).map(argument => `${name} needs ${argument}`),
     ...positionals.slice(required.length).map(word => `${name} doesn't take ${word}`)
   ]
-  return findings.length === 0 ? `${name}: an option lacks its value` : findings.join('\n')
+  return findings.length === 0 ? `${name}: an option is missing its value` : findings.join('\n')
 }
 
-/** The names of the options given, and the words that are no option's value. */
+/** Splits arguments into the names of options and the positional arguments; values of options are left out. */
 function splitArguments (definition: CommandDefinition, args: readonly string[]): { readonly options: readonly string[], readonly positionals: readonly string[] } {
   const withValue = new Set(definition.options.filter(({ definition }) => definition.includes('#')).flatMap(listNames))
   const isValue = (i: number): boolean => i > 0 && withValue.has(args[i - 1]!)
@@ -70,5 +70,5 @@
 }
 
 function showEnvironmentVariable (option: string): string {
-  return entryVariables[option] === undefined ? '' : `, here or in ${entryVariables[option]}`
+  return entryVariables[option] === undefined ? '' : ` (or set ${entryVariables[option]})`
 }
--- a/src/commands/command-definition.ts
+++ b/src/commands/command-definition.ts
@@ -1,4 +1,4 @@
 import type { Definition } from 'clipanion'
 
-/** What the command line knows of one command: its path, options and how it is used. */
+/** Definition of a command: its path, options and usage. */
 export type CommandDefinition = Readonly<Definition>
--- a/src/commands/commands.ts
+++ b/src/commands/commands.ts
@@ -19,7 +19,7 @@
 import { TimelineCommand } from './timeline.js'
 import { TraceCommand } from './trace.js'
 
-/** Every command of the program. */
+/** All commands of the program. */
 export const commands: readonly CommandClass[] = [
   Builtins.HelpCommand,
   Builtins.VersionCommand,
--- a/src/commands/create-daemon.ts
+++ b/src/commands/create-daemon.ts
@@ -8,7 +8,7 @@
 import { Metrics } from '../observe/metrics.js'
 import { HttpObjectStore } from '../store/http-object-store.js'
 
-/** A daemon with its settings, clock and connection to the platform, ready to start. */
+/** Creates a daemon with its settings, clock and platform client, ready to start. */
 export function createDaemon (settings: Settings, log: LogSink): Kernel {
   const kernel = new Kernel()
   kernel.container.registerInstance(tokens.settings, settings)
--- a/src/commands/entry-client.ts
+++ b/src/commands/entry-client.ts
@@ -2,11 +2,12 @@
 import { request } from 'undici'
 import type { EntryError } from './entry-error.js'
 
+/** Time limit of a request, in ms. */
 const TIMEOUT = 30_000
 
 type Method = 'GET' | 'PUT' | 'POST' | 'DELETE'
 
-/** Asks a daemon as the command line does: JSON in, JSON out, problems as typed errors. */
+/** HTTP client for one daemon: sends and receives JSON, and returns problem documents as typed errors. */
 export class EntryClient {
   constructor (readonly url: string, private readonly token: string) {}
 
--- a/src/commands/entry-command.ts
+++ b/src/commands/entry-command.ts
@@ -6,18 +6,18 @@
 import { entryVariables } from './entry-variables.js'
 import { exitCodes } from './exit-codes.js'
 
-/** What commands that ask a daemon share: where it is, who asks, and how answers and errors are shown. */
+/** Base of the commands that call a daemon: its address, the token, and the output of results and errors. */
 export abstract class EntryCommand extends Command {
   entry = Option.String('--entry', { env: entryVariables['--entry']!, required: true, description: 'address of a daemon, such as http://10.0.0.1:8080' })
-  token = Option.String('--token', { env: entryVariables['--token']!, required: true, description: 'bearer token to ask with' })
+  token = Option.String('--token', { env: entryVariables['--token']!, required: true, description: 'bearer token' })
   json = Option.Boolean('--json', false, { description: 'print the answer as JSON' })
 
-  /** A client for the given daemon, or for another one of the fleet. */
+  /** Creates a client for the daemon of `--entry`, or for another daemon of the fleet. */
   protected client (url = this.entry): EntryClient {
     return new EntryClient(url, this.token)
   }
 
-  /** Prints a result, as JSON or by `write`, or its error; gives back the exit code. */
+  /** Prints a result as JSON or with `format`, or its error; returns the exit code. */
   protected show<T> (result: Result<T, EntryError>, format: (value: T) => string): number {
     if (result.err) return this.showError(result.val)
     this.context.stdout.write((this.json ? JSON.stringify(result.val, null, 2) : format(result.val)) + '\n')
@@ -31,7 +31,7 @@
         this.context.stderr.write(`no daemon answered: ${error.detail}\n`)
         return exitCodes.unreachable
       case 'refused':
-        this.context.stderr.write(`refused (${error.status}): ${error.detail}${error.retryAfter === undefined ? '' : `; come back in ${error.retryAfter} s`}\n`)
+        this.context.stderr.write(`refused (${error.status}): ${error.detail}${error.retryAfter === undefined ? '' : `; retry in ${error.retryAfter} s`}\n`)
         return exitCodes.refused
       default: return failUnreachable(error)
     }
--- a/src/commands/exit-codes.ts
+++ b/src/commands/exit-codes.ts
@@ -1,16 +1,16 @@
-/** The exit codes of every command. */
+/** Exit codes of all commands. */
 export const exitCodes = {
   ok: 0,
-  /** The daemon or the platform refused, a check found something, or what was asked for isn't there. */
+  /** The daemon or the platform refused, a check has findings, or the requested object doesn't exist. */
   refused: 1,
-  /** The words, the settings or the files given are wrong. */
+  /** The arguments, settings or files are invalid. */
   usage: 2,
   /** No daemon answered. */
   unreachable: 3,
-  /** Another operator's change came first; nothing was changed. */
+  /** Another operator's change was accepted first; nothing was changed. */
   conflict: 4,
-  /** The change is accepted, but some daemons don't act on it yet. */
+  /** The change is accepted but not active on all daemons yet. */
   behind: 5,
-  /** It isn't known whether the change took effect. */
+  /** It is unknown whether the change took effect. */
   unknown: 6
 } as const
--- a/src/commands/fleet-status.ts
+++ b/src/commands/fleet-status.ts
@@ -1,6 +1,6 @@
 import type { Member } from '../peers/member.js'
 
-/** What one daemon says of itself and of the others. */
+/** Status of one daemon, with its view of the members. */
 export interface FleetStatus {
   readonly instance: string
   readonly configuration: number
--- a/src/commands/is-json-object.ts
+++ b/src/commands/is-json-object.ts
@@ -1,6 +1,6 @@
 import * as t from 'typanion'
 
-/** Holds for a word that is a JSON object, which it is read as. */
+/** Validates an argument as a JSON object and coerces it to that object. */
 export const isJsonObject = t.makeValidator<unknown, Readonly<Record<string, unknown>>>({
   test: (value, state): value is Readonly<Record<string, unknown>> => {
     const read = readJson(String(value))
--- a/src/commands/is-port.ts
+++ b/src/commands/is-port.ts
@@ -1,4 +1,4 @@
 import * as t from 'typanion'
 
-/** Holds for a number that is a TCP port, or 0, which lets the system choose. */
+/** Validates an argument as a TCP port, or 0 for a free port. */
 export const isPort = t.cascade(t.isNumber(), [t.isInteger(), t.isInInclusiveRange(0, 65_535)])
--- a/src/commands/jobs-results.ts
+++ b/src/commands/jobs-results.ts
@@ -4,21 +4,21 @@
 import { EntryCommand } from './entry-command.js'
 import { exitCodes } from './exit-codes.js'
 
-/** Writes a job's results to standard output, one line an item. */
+/** Writes a job's results to standard output, one line per item. */
 export class JobsResultsCommand extends EntryCommand {
   static override paths = [['jobs', 'results']]
   static override usage = Command.Usage({
     category: 'Jobs',
-    description: 'write the results of a job, one line an item',
-    details: 'While the job runs it writes what is recorded so far. The lines are JSON with and without --json. Exit codes: 0 all written; 1 refused, there is no such job, or the answer was cut; 2 wrong usage; 3 no daemon answered.',
+    description: 'write the results of a job, one line per item',
+    details: 'While the job runs, it writes the results recorded so far. The lines are JSON with and without --json. Exit codes: 0 all written; 1 refused, no such job, or the response was interrupted; 2 wrong usage; 3 no daemon answered.',
     examples: [
-      ['Keep what completed', 'citronwheel jobs results batch-0123 --entry http://10.0.0.1:8080 --token TOKEN > results.jsonl'],
-      ['See what failed or was cancelled', 'citronwheel jobs results batch-0123 --errors --entry http://10.0.0.1:8080 --token TOKEN']
+      ['Save the completed items', 'citronwheel jobs results batch-0123 --entry http://10.0.0.1:8080 --token TOKEN > results.jsonl'],
+      ['Show the items that failed or were cancelled', 'citronwheel jobs results batch-0123 --errors --entry http://10.0.0.1:8080 --token TOKEN']
     ]
   })
 
   id = Option.String({ name: 'id' })
-  errors = Option.Boolean('--errors', false, { description: 'write the items that failed or were cancelled instead' })
+  errors = Option.Boolean('--errors', false, { description: 'write the failed and cancelled items instead' })
 
   async execute (): Promise<number> {
     const path = `/v1/files/${encodeURIComponent(`${this.id}.${this.errors ? 'errors' : 'output'}`)}/content`
@@ -32,7 +32,7 @@
       await pipeline(answer.body, this.context.stdout, { end: false })
       return exitCodes.ok
     } catch {
-      this.context.stderr.write('the answer was cut; what was written is not all\n')
+      this.context.stderr.write('the response was interrupted; the output is incomplete\n')
       return exitCodes.refused
     }
   }
--- a/src/commands/load.ts
+++ b/src/commands/load.ts
@@ -12,22 +12,22 @@
 const isNonNegative = t.cascade(t.isNumber(), [t.isAtLeast(0)])
 const isPositiveInteger = t.cascade(t.isNumber(), [t.isInteger(), t.isAtLeast(1)])
 
-/** Brings online load to a fleet and tells what came of it. */
+/** Generates online load on a fleet and summarizes the outcome. */
 export class LoadCommand extends EntryCommand {
   static override paths = [['load']]
   static override usage = Command.Usage({
-    category: 'Trials',
-    description: 'bring online load and measure the answers',
-    details: 'Open loop from a seed, with bursts. The addresses come from /v1/addresses. Exit codes: 0 every request was answered or refused; 1 some were cut or lost; 2 wrong usage; 3 no daemon answered.',
-    examples: [['20 requests a second for 10 s, bursts of 100 a second', 'citronwheel load --model berth-assistant --rate 20 --burst 100 --seconds 10 --entry http://10.0.0.1:8080 --token TOKEN']]
+    category: 'Testing',
+    description: 'generate online load and measure the answers',
+    details: 'Open loop from a seed, with bursts. Requests go to the addresses in /v1/addresses. Exit codes: 0 every request was answered or refused; 1 some were interrupted or lost; 2 wrong usage; 3 no daemon answered.',
+    examples: [['20 requests per second for 10 s, with bursts of 100 per second', 'citronwheel load --model berth-assistant --rate 20 --burst 100 --seconds 10 --entry http://10.0.0.1:8080 --token TOKEN']]
   })
 
-  model = Option.String('--model', { required: true, description: 'the service to ask' })
-  rate = Option.String('--rate', '10', { validator: isNonNegative, description: 'requests a second' })
-  burst = Option.String('--burst', '0', { validator: isNonNegative, description: 'requests a second during bursts (2 s of every 8); 0: no bursts' })
-  seconds = Option.String('--seconds', '10', { validator: isNonNegative, description: 'how long' })
-  tokens = Option.String('--tokens', '32', { validator: isPositiveInteger, description: 'most tokens of an answer' })
-  seed = Option.String('--seed', '1', { validator: isPositiveInteger, description: 'the same seed brings the same requests' })
+  model = Option.String('--model', { required: true, description: 'the service to request' })
+  rate = Option.String('--rate', '10', { validator: isNonNegative, description: 'requests per second' })
+  burst = Option.String('--burst', '0', { validator: isNonNegative, description: 'requests per second during bursts (2 s of every 8); 0 for no bursts' })
+  seconds = Option.String('--seconds', '10', { validator: isNonNegative, description: 'duration in seconds' })
+  tokens = Option.String('--tokens', '32', { validator: isPositiveInteger, description: 'most tokens per answer' })
+  seed = Option.String('--seed', '1', { validator: isPositiveInteger, description: 'random seed; the same seed generates the same requests' })
 
   async execute (): Promise<number> {
     const addresses = await this.client().call<{ addresses: readonly { url: string }[] }>('GET', '/v1/addresses')
--- a/src/commands/report.ts
+++ b/src/commands/report.ts
@@ -14,22 +14,22 @@
 import type { EntryError } from './entry-error.js'
 import { exitCodes } from './exit-codes.js'
 
-/** Shows who got what in a week, beside the week before, for managers. */
+/** Shows the usage of a period compared with the period before. */
 export class ReportCommand extends EntryCommand {
   static override paths = [['report']]
   static override usage = Command.Usage({
     category: 'Operators',
-    description: 'show who got what in a week, and what was refused',
-    details: 'By team, caller, service and day, beside the same days of the period before; this week where nothing is named. Days are UTC. Exit codes: 0 shown; 1 refused; 2 wrong usage; 3 no daemon answered.',
+    description: 'show usage and refusals of a week or another period',
+    details: 'By team, caller, service and day, compared with the period before; this week by default. Days are UTC. Exit codes: 0 shown; 1 refused; 2 wrong usage; 3 no daemon answered.',
     examples: [
       ['One week', 'citronwheel report --week 2026-W48 --entry http://10.0.0.1:8080 --token TOKEN'],
-      ['A page with plots, and a table for a spreadsheet', 'citronwheel report --since 2026-11-01 --until 2026-11-30 --html november.html --csv november.csv --entry http://10.0.0.1:8080 --token TOKEN']
+      ['A page with charts, and a table for a spreadsheet', 'citronwheel report --since 2026-11-01 --until 2026-11-30 --html november.html --csv november.csv --entry http://10.0.0.1:8080 --token TOKEN']
     ]
   })
 
-  week = Option.String('--week', { description: 'week to report, as 2026-W48' })
+  week = Option.String('--week', { description: 'week to report, such as 2026-W48' })
   since = Option.String('--since', { description: 'first day, as YYYY-MM-DD' })
-  until = Option.String('--until', { description: 'last day, as YYYY-MM-DD; today where it is left out' })
+  until = Option.String('--until', { description: 'last day, as YYYY-MM-DD; today by default' })
   html = Option.String('--html', { description: 'write a self-contained HTML page to this file' })
   csv = Option.String('--csv', { description: 'write each day, caller and service as CSV to this file' })
 
@@ -52,7 +52,7 @@
     return this.show(Ok(report), formatReport)
   }
 
-  /** A day at a time: the answer for a whole week of thousands of callers would hold the daemon up while it is written. */
+  /** Reads one day per request, since serializing a whole week of thousands of callers would block the daemon. */
   private async readDays (since: string, until: string): Promise<Result<readonly ReportDay[], EntryError>> {
     const days: ReportDay[] = []
     for (const day of listDays(since, until)) {
--- a/src/commands/run-program.ts
+++ b/src/commands/run-program.ts
@@ -6,7 +6,7 @@
 
 const VERSION = '0.1.0'
 
-/** Runs the command that the words name. Wrong words are explained on standard error, all findings together. */
+/** Runs the command named by the arguments. All usage errors are reported together on standard error. */
 export async function runProgram (args: readonly string[], context: Partial<BaseContext> = {}): Promise<number> {
   const cli = new Cli({ binaryName: 'citronwheel', binaryLabel: 'citronwheel', binaryVersion: VERSION, enableColors: false })
   for (const command of commands) cli.register(command)
@@ -25,7 +25,7 @@
   return await cli.run([...args], context)
 }
 
-/** An option's value that its validator rejected; all other errors are of words that name no command. */
+/** Returns true for an option value that its validator rejected; other errors mean that no command matches. */
 function isInvalidValue (error: unknown): error is Error {
   return error instanceof Error && error.name === 'UsageError'
 }
--- a/src/commands/serve.ts
+++ b/src/commands/serve.ts
@@ -10,16 +10,16 @@
 import { exitCodes } from './exit-codes.js'
 import { waitForSignal } from './wait-for-signal.js'
 
-/** Runs a daemon until SIGTERM or SIGINT, then ends it gracefully. */
+/** Runs a daemon until SIGTERM, SIGINT or a drain, then shuts it down gracefully. */
 export class ServeCommand extends Command {
   static override paths = [['serve']]
   static override usage = Command.Usage({
     description: 'run a daemon',
-    details: 'Exit codes: 0 ended gracefully; 2 the settings are wrong, with all findings on standard error.',
+    details: 'Exit codes: 0 shut down gracefully; 2 invalid settings, with all findings on standard error.',
     examples: [['Run with the settings of this instance', 'citronwheel serve --settings /etc/citronwheel.yaml']]
   })
 
-  settings = Option.String('--settings', { required: true, description: 'the YAML file of this daemon\'s settings' })
+  settings = Option.String('--settings', { required: true, description: 'YAML file with the settings of this daemon' })
 
   async execute (): Promise<number> {
     limitHeap()
--- a/src/commands/show-help.ts
+++ b/src/commands/show-help.ts
@@ -3,7 +3,7 @@
 
 const HELP_OPTIONS = ['--help', '-h']
 
-/** The help that the words ask for, of one command, of a group or of all; nothing where they ask for none. */
+/** Returns the help requested by the arguments, for one command, a group or all; undefined if none is requested. */
 export function showHelp (cli: Cli, args: readonly string[]): string | undefined {
   if (args.length > 0 && !args.some(word => HELP_OPTIONS.includes(word))) return undefined
   const path = args.filter(word => !word.startsWith('-'))
@@ -19,7 +19,7 @@
   return start.length > 0 && start.every((word, i) => path[i] === word)
 }
 
-/** The library names the value of an option after its place in the words. */
+/** Replaces clipanion's placeholder for an option's value. */
 function formatValues (text: string): string {
   return text.replaceAll(' #0', ' VALUE')
 }
--- a/src/commands/shown-job.ts
+++ b/src/commands/shown-job.ts
@@ -1,4 +1,4 @@
-/** A batch job as the daemons show it. Times in seconds since 1970. */
+/** A batch job as returned by a daemon. Times in seconds since 1970. */
 export interface ShownJob {
   readonly id: string
   readonly status: string
--- a/src/commands/stand-in-command.ts
+++ b/src/commands/stand-in-command.ts
@@ -8,12 +8,12 @@
   readonly close: () => void
 }
 
-/** What commands that run a stand-in share: its port and parameters, and that it runs until a signal. */
+/** Base of the commands that run stand-ins until a signal: their port and parameters. */
 export abstract class StandInCommand extends Command {
-  port = Option.String('--port', '0', { validator: isPort, description: 'port to listen on; 0 lets the system choose' })
+  port = Option.String('--port', '0', { validator: isPort, description: 'port to listen on; 0 for a free port' })
   options = Option.String('--options', '{}', { validator: isJsonObject, description: 'its parameters, as JSON' })
 
-  /** Listens on the port given, and on others for more than one; says where, and ends at a signal. */
+  /** Starts the first stand-in on `--port` and others on free ports, prints the ports and exits at a signal. */
   protected async runStandIns (standIns: readonly StandIn[]): Promise<number> {
     const ports = await Promise.all(standIns.map(async (standIn, i) => await standIn.listen(i === 0 ? this.port : 0)))
     this.context.stdout.write(JSON.stringify({ listening: ports[0], ports }) + '\n')
--- a/src/commands/status.ts
+++ b/src/commands/status.ts
@@ -3,14 +3,14 @@
 import { EntryCommand } from './entry-command.js'
 import type { FleetStatus } from './fleet-status.js'
 
-/** Shows the daemons of the fleet, what each acts on and which don't answer. */
+/** Shows the daemons of the fleet, the active configuration of each, and which don't answer. */
 export class StatusCommand extends EntryCommand {
   static override paths = [['status']]
   static override usage = Command.Usage({
     category: 'Operators',
-    description: 'show the daemons and the configuration each acts on',
+    description: 'show the daemons and their active configuration',
     details: 'Exit codes: 0 shown; 1 refused; 2 wrong usage; 3 no daemon answered.',
-    examples: [['Ask one daemon for the state of all', 'citronwheel status --entry http://10.0.0.1:8080 --token TOKEN']]
+    examples: [['Show all daemons of the fleet', 'citronwheel status --entry http://10.0.0.1:8080 --token TOKEN']]
   })
 
   async execute (): Promise<number> {
--- a/src/commands/timeline.ts
+++ b/src/commands/timeline.ts
@@ -8,16 +8,16 @@
 import { askMembers } from './ask-members.js'
 import { EntryCommand } from './entry-command.js'
 
-/** Shows the events of all daemons in causal order, of one request or one job where asked. */
+/** Shows the events of all daemons in causal order, optionally of one request or one job. */
 export class TimelineCommand extends EntryCommand {
   static override paths = [['timeline']]
   static override usage = Command.Usage({
     category: 'Operators',
-    description: 'show events over all processes in causal order',
-    details: 'With --request or --job also what happened to servers and daemons meanwhile. Each daemon keeps its newest 20,000 events; those of a daemon that is gone are gone with it. Exit codes: 0 shown; 1 refused; 2 wrong usage; 3 no daemon answered.',
+    description: 'show events of all daemons in causal order',
+    details: 'With --request or --job, includes concurrent events of servers and daemons. Each daemon keeps its newest 20,000 events in memory; they are lost when it ends. Exit codes: 0 shown; 1 refused; 2 wrong usage; 3 no daemon answered.',
     examples: [
-      ['What happened to one request', 'citronwheel timeline --request 79d05a4e --entry http://10.0.0.1:8080 --token TOKEN'],
-      ['One job, as a page', 'citronwheel timeline --job batch-2091 --html job.html --entry http://10.0.0.1:8080 --token TOKEN']
+      ['Events of one request', 'citronwheel timeline --request 79d05a4e --entry http://10.0.0.1:8080 --token TOKEN'],
+      ['Events of one job, as a page', 'citronwheel timeline --job batch-2091 --html job.html --entry http://10.0.0.1:8080 --token TOKEN']
     ]
   })
 
@@ -37,7 +37,7 @@
     })
     if (merged.ok && this.html !== undefined) writeFileSync(this.html, buildTimelinePage(this.request ?? this.job ?? 'time line', merged.val.events))
     return this.show(merged, ({ events, silent }) => [
-      ...events.length === 0 ? ['no daemon that answered keeps an event of it'] : [showTimeline(events)],
+      ...events.length === 0 ? ['no events found on the daemons that answered'] : [showTimeline(events)],
       ...silent.map(name => `events of ${name} are missing: it does not answer`)
     ].join('\n'))
   }
--- a/src/commands/trace.ts
+++ b/src/commands/trace.ts
@@ -8,21 +8,21 @@
 import type { TraceError } from '../observe/trace-error.js'
 import { exitCodes } from './exit-codes.js'
 
-/** Shows the course of a request, an item, a job or a server from the logs of all instances, without asking a daemon. */
+/** Shows the history of a request, an item, a job or a server from the logs of all instances, offline. */
 export class TraceCommand extends Command {
   static override paths = [['trace']]
   static override usage = Command.Usage({
     category: 'Operators',
-    description: 'show from the logs what happened to an id',
-    details: 'The id is that of a request, an item of a job, a job or a backend server; an item\'s shows its job too, a job\'s its items. Shown are its own lines with what their daemon went by, warnings and errors within a second of them, what the daemons learnt of the servers, and what other requests met there. The order is that of what must have come first, else of the stamps; where the two differ, the line says why. Exit codes: 0 shown; 1 no line has the id; 2 wrong usage, no such folder, no log in it, or the page can\'t be written.',
+    description: 'show the log events of an id',
+    details: 'The id is that of a request, an item of a job, a job or a backend server; an item includes its job, a job its items. Shows the log lines of the id with the inputs of their daemon\'s decisions, warnings and errors within a second of them, changes of server state seen by the daemons, and events of other requests at the same servers. Lines are in causal order, otherwise by time stamp; where the two differ, the line shows why. Exit codes: 0 shown; 1 no line has the id; 2 wrong usage, no such folder, no log in it, or the page can\'t be written.',
     examples: [
-      ['Why a request failed', 'citronwheel trace 7b8351b3d276bfc8 --logs logs/'],
+      ['Find out why a request failed', 'citronwheel trace 7b8351b3d276bfc8 --logs logs/'],
       ['One item of a job, as a page', 'citronwheel trace cd1a93e9cb19cccf --logs logs/ --html item.html']
     ]
   })
 
   id = Option.String({ required: true })
-  logs = Option.String('--logs', { required: true, description: 'folder with the logs of all instances, a JSON object a line' })
+  logs = Option.String('--logs', { required: true, description: 'folder with the logs of all instances, one JSON object per line' })
   html = Option.String('--html', { description: 'write a self-contained HTML page to this file' })
   json = Option.Boolean('--json', false, { description: 'print the answer as JSON' })
 
@@ -51,7 +51,7 @@
         return exitCodes.usage
       }
       case 'no log': {
-        this.writeLines([`--logs: none of ${error.files} files in ${this.logs} has a line of a log`, ...showUnread(error.unread)])
+        this.writeLines([`--logs: none of ${error.files} files in ${this.logs} contains a log line`, ...showUnread(error.unread)])
         return exitCodes.usage
       }
       case 'unknown id': {
--- a/src/commands/upload-file.ts
+++ b/src/commands/upload-file.ts
@@ -5,7 +5,7 @@
 
 interface Refusal { readonly detail?: string, readonly findings?: ReadonlyArray<{ readonly line: number, readonly message: string }> }
 
-/** Uploads a batch file; a refusal tells all that is wrong with it, by line. */
+/** Uploads a batch file; a refusal lists all its findings by line. */
 export async function uploadFile ({ url, token, name, blob }: Upload): Promise<Result<{ readonly id: string }, EntryError>> {
   const form = new FormData()
   form.set('purpose', 'batch')
--- a/test/commands/run-program.test.ts
+++ b/test/commands/run-program.test.ts
@@ -10,7 +10,7 @@
   return { code, text: String(out.read() ?? '') }
 }
 
-test('a wrong word suggests the right one', async t => {
+test('an unknown command suggests the closest one', async t => {
   const { code, text } = await run(['timelin'])
   t.is(code, 2)
   t.regex(text, /did you mean timeline\?/)
@@ -21,18 +21,18 @@
   ['jobs', ['jobs needs one of submit, list, status, results, cancel']],
   ['jobs submit --windw 5h', [
     'jobs submit has no option --windw; did you mean --window?',
-    'jobs submit needs --entry, address of a daemon, such as http://10.0.0.1:8080, here or in CITRONWHEEL_ENTRY',
-    'jobs submit needs --token, bearer token to ask with, here or in CITRONWHEEL_TOKEN'
+    'jobs submit needs --entry, address of a daemon, such as http://10.0.0.1:8080 (or set CITRONWHEEL_ENTRY)',
+    'jobs submit needs --token, bearer token (or set CITRONWHEEL_TOKEN)'
   ]],
   ['jobs status --entry x --token y', ['jobs status needs <id>']],
   ['check a b', ['check doesn\'t take b']],
-  ['serve --settings', ['serve: an option lacks its value']],
+  ['serve --settings', ['serve: an option is missing its value']],
   ['stand-in engine --options {', ['Invalid value for --options: expected a JSON object']],
   ['load --entry x --token y --model z --rate abc', ['Invalid value for --rate: expected a number (got "abc")']]
 ]
 
 for (const [words, findings] of WRONG) {
-  test(`${words}: each finding is told, and nothing is asked`, async t => {
+  test(`${words}: each usage error is reported, and no request is sent`, async t => {
     const { code, text } = await run(words.split(' '))
     t.is(code, 2)
     for (const finding of findings) t.true(text.includes(finding), text)
@@ -54,13 +54,13 @@
   })
 }
 
-test('a missing option is wrong usage and nothing is asked', async t => {
+test('a missing option is a usage error and no request is sent', async t => {
   const { code, text } = await run(['load', '--entry', 'http://127.0.0.1:1'])
   t.is(code, 2)
   t.regex(text, /--model|--token|Usage/i)
 })
 
-test('no daemon at the address is told by its own exit code', async t => {
+test('an unreachable daemon has its own exit code', async t => {
   const { code, text } = await run(['status', '--entry', 'http://127.0.0.1:1', '--token', 'x'])
   t.is(code, 3)
   t.regex(text, /no daemon answered/)
--- a/test/commands/trace.test.ts
+++ b/test/commands/trace.test.ts
@@ -20,7 +20,7 @@
   ]
 }
 
-test('the course of a request is shown as text', async t => {
+test('the trace of a request is shown as text', async t => {
   const { code, out } = await run('trace', 'r', '--logs', writeLogs(t, LOGS))
   t.is(code, 0)
   t.regex(out, /^request r; at edge-1; servers i-1\n/)
@@ -28,7 +28,7 @@
   t.regex(out, /edge-1\.log: 1 broken line, the first at 3/)
 })
 
-test('as JSON and as a page', async t => {
+test('a trace is written as JSON and as a page', async t => {
   const folder = writeLogs(t, LOGS)
   const page = join(folder, 'page.html')
   const { code, out } = await run('trace', 'r', '--logs', folder, '--json', '--html', page)
@@ -41,7 +41,7 @@
   t.regex(readFileSync(page, 'utf8'), /<title>request r<\/title>[^]*abandoned a request/)
 })
 
-test('an id that no line has is told by its own exit code, with what could not be read', async t => {
+test('an unknown id has its own exit code, and unreadable lines are listed', async t => {
   const folder = writeLogs(t, LOGS)
   const { code, err } = await run('trace', 'torn', '--logs', folder, '--html', join(folder, 'page.html'))
   t.is(code, 1)
@@ -50,21 +50,21 @@
   t.deepEqual(JSON.parse((await run('trace', 'x', '--logs', folder, '--json')).out).error.type, 'unknown id')
 })
 
-test('no folder, a folder without logs and a page that can\'t be written are wrong usage, and say so', async t => {
+test('no folder, a folder without logs and a page that can\'t be written are usage errors with a message', async t => {
   const folder = writeLogs(t, LOGS)
   const none = await run('trace', 'r', '--logs', join(folder, 'none'))
   t.is(none.code, 2)
   t.regex(none.err, /^--logs: ENOENT/)
   const empty = await run('trace', 'r', '--logs', writeLogs(t, { 'a.txt': ['words'] }))
   t.is(empty.code, 2)
-  t.regex(empty.err, /none of 1 files .* has a line of a log\na\.txt is not a log/)
+  t.regex(empty.err, /none of 1 files .* contains a log line\na\.txt is not a log/)
   const page = await run('trace', 'r', '--logs', folder, '--html', join(folder, 'none', 'page.html'))
   t.is(page.code, 2)
   t.regex(page.err, /the page can't be written/)
   t.regex(page.out, /abandoned a request/)
 })
 
-test('a folder that is missing from the words is asked for', async t => {
+test('a missing --logs option is reported', async t => {
   const { code, err } = await run('trace', 'r')
   t.is(code, 2)
   t.regex(err, /trace needs --logs/)
