--- a/src/config/decode-file.ts
+++ b/src/config/decode-file.ts
@@ -33,7 +33,7 @@
     const keys = new Map<string, Entry>()
     const seen = new Set<unknown>()
     for (const { key, value } of pairs as ReadonlyArray<{ key: ParsedNode, value: ParsedNode | null }>) {
-      if (!isScalar(key)) this.addFinding(key.range[0], 'a key must be a plain word')
+      if (!isScalar(key)) this.addFinding(key.range[0], 'a key must be a scalar')
       else if (seen.has(key.value)) this.addFinding(key.range[0], 'duplicate key')
       else keys.set(String(key.value), this.readEntry(value, key.range[0]))
       if (isScalar(key)) seen.add(key.value)
