--- a/src/config/merge-values.ts
+++ b/src/config/merge-values.ts
@@ -1,12 +1,12 @@
 import { isValueMap } from './is-value-map.js'
 import type { ValueMap } from './value-map.js'
 
-/** Maps merged between two pauses. */
-const STEP = 200
+/** Maps merged between two yields. */
+const MAPS_PER_STEP = 200
 
 /**
- * Merges maps as `mergeEntries` does, the latest last: maps key by key, and anything else replaces what came before
- * it. A value that one map alone has is given as it stands, so that it can be told to be the same as before.
+ * Merges maps, ordered from oldest to newest, as `mergeEntries` does: maps key by key, and any other value replaces those
+ * before it. A value that only one map has keeps its object identity, so that caches recognise it as unchanged.
  */
 export function * mergeValues (maps: readonly ValueMap[]): Generator<void, ValueMap> {
   const groups = new Map<string, unknown[]>()
@@ -17,7 +17,7 @@
       else if (isValueMap(value)) group.push(value)
       else groups.set(key, [value])
     }
-    if (i % STEP === STEP - 1) yield
+    if (i % MAPS_PER_STEP === MAPS_PER_STEP - 1) yield
   }
   const merged: Array<[string, unknown]> = []
   for (const [key, group] of groups) {
--- a/src/config/read-default.ts
+++ b/src/config/read-default.ts
@@ -1,13 +1,13 @@
 import { failUnreachable } from '../kernel/unreachable.js'
 import type { KeySchema } from './key-schema.js'
 
-/** What a key holds when it is left out, given the keys before it; undefined where it must be set or stays absent. */
-export function readDefault (schema: KeySchema, beside: Readonly<Record<string, unknown>> = {}): unknown {
+/** Returns the default of a key, given the sibling keys before it; undefined if the key is required or stays absent. */
+export function readDefault (schema: KeySchema, siblings: Readonly<Record<string, unknown>> = {}): unknown {
   switch (schema.type) {
     case 'text':
     case 'number':
     case 'choice': return schema.default
-    case 'boolean': return schema.default ?? schema.defaultBy?.values[String(beside[schema.defaultBy.key])]
+    case 'boolean': return schema.default ?? schema.defaultBy?.values[String(siblings[schema.defaultBy.key])]
     case 'list': return undefined
     case 'map': return {}
     case 'object': return readDefaults(schema.keys)
@@ -15,7 +15,7 @@
   }
 }
 
-/** An object has a default when each of its keys has one. */
+/** Returns the default of an object, which it has if each of its required keys has one. */
 function readDefaults (keys: Readonly<Record<string, KeySchema>>): unknown {
   const values: Record<string, unknown> = {}
   for (const [key, schema] of Object.entries(keys)) {
--- a/src/config/split-packs.ts
+++ b/src/config/split-packs.ts
@@ -2,21 +2,20 @@
 import type { Pack } from './pack.js'
 import type { PackedFile } from './packed-file.js'
 
-/** A pack has this many files on average. */
-const MEAN_FILES = 32
-const MAX_BYTES = 250_000
+const MEAN_FILES_PER_PACK = 32
+const MAX_PACK_BYTES = 250_000
 
 /**
- * Splits a folder into packs, in the order of names. Where a pack begins follows from the name of its first file
- * alone (unless it would grow past `MAX_BYTES`), so that a file changed, added or removed changes one pack, or two
- * where it was itself the border, and all others keep their hash.
+ * Splits a folder into packs, in the order of file names. The start of a pack depends only on the name of its first file
+ * (unless a pack would exceed `MAX_PACK_BYTES`), so that changing, adding or removing a file changes one pack, or two if
+ * that file starts a pack, and all others keep their hash.
  */
 export function splitPacks (files: readonly PackedFile[]): readonly Pack[] {
   const packs: PackedFile[][] = []
   let bytes = Infinity
   for (const file of [...files].sort(([a], [b]) => a < b ? -1 : 1)) {
     const size = Buffer.byteLength(file[1])
-    if (bytes + size > MAX_BYTES || isBorder(file[0])) {
+    if (bytes + size > MAX_PACK_BYTES || isPackStart(file[0])) {
       packs.push([])
       bytes = 0
     }
@@ -26,6 +25,6 @@
   return packs.map(packed => ({ hash: hashContent(packed), files: packed }))
 }
 
-function isBorder (name: string): boolean {
-  return parseInt(hashContent(name).slice(0, 8), 16) % MEAN_FILES === 0
+function isPackStart (name: string): boolean {
+  return parseInt(hashContent(name).slice(0, 8), 16) % MEAN_FILES_PER_PACK === 0
 }
