--- a/src/batch/cancelled-index.ts
+++ b/src/batch/cancelled-index.ts
@@ -9,7 +9,7 @@
 /** Far above the 60 s for which items start without a look, and above what wall clocks differ by. */
 const LOOKBACK = 900_000
 /** Entries older than this are of no use to anybody. */
-const KEEP = 3_600_000
+const RETENTION = 3_600_000
 const PAGE = 500
 const TIME_DIGITS = 13
 
@@ -37,7 +37,7 @@
   /** Removes a page of entries whose time is over. */
   async clean (): Promise<void> {
     const found = (await this.store.list('cancelled', { limit: PAGE })).unwrapOr([])
-    const end = formatTime(this.clock.date() - KEEP)
+    const end = formatTime(this.clock.date() - RETENTION)
     for (const { name, version } of found) if (name < end) await this.store.delete('cancelled', name, version)
   }
 }
--- a/src/batch/chunk-claims.ts
+++ b/src/batch/chunk-claims.ts
@@ -55,7 +55,7 @@
     const present = read.ok ? read.val.value : undefined
     const holding = await this.readHolding(present)
     if (holding === 'failed') return 'failed'
-    const next = claimChunk(present, { name, items: claim.items, by: this.holding.by, holding, date: this.clock.date() })
+    const next = claimChunk(present, { name, items: claim.items, by: this.holding.incarnation, holding, date: this.clock.date() })
     if (next.err && next.val === 'held') return 'busy'
     if (next.err) return await this.finish(claim, present!)
     const items = await this.files.readItems(claim.job.file, claim.n)
@@ -70,7 +70,7 @@
 
   private async readHolding (chunk: Chunk | undefined): Promise<Holding | undefined | 'failed'> {
     const holder = chunk?.holder
-    if (holder === undefined || isHolder(chunk!, this.holding.by)) return undefined
+    if (holder === undefined || isHolder(chunk!, this.holding.incarnation)) return undefined
     const read = await this.store.get<Holding>('holding', holder.instance)
     if (read.ok) return read.val.value
     return read.val.type === 'missing' ? undefined : 'failed'
@@ -92,7 +92,7 @@
       ...claim,
       object,
       items,
-      by: this.holding.by,
+      by: this.holding.incarnation,
       store: this.store,
       clock: this.clock,
       onEnd: chunk => {
@@ -120,7 +120,7 @@
    * closed here is met again by the next look for work; without the memory its results are counted at each.
    */
   private mayCount (name: string, { closed }: Chunk): boolean {
-    const { instance, started } = this.holding.by
+    const { instance, started } = this.holding.incarnation
     if (closed?.by.instance !== instance || closed.by.started !== started || this.counted.has(name)) return false
     this.counted.add(name)
     if (this.counted.size > MAX_COUNTED) this.counted.delete(this.counted.values().next().value!)
--- a/src/batch/chunk-source.ts
+++ b/src/batch/chunk-source.ts
@@ -16,15 +16,15 @@
 import type { Job } from './job.js'
 import { JobWatch } from './job-watch.js'
 import type { SpoolEntry } from './spool-entry.js'
-import { planLookPause } from './plan-look-pause.js'
+import { planSearchPause } from './plan-search-pause.js'
 import { WorkFinder } from './work-finder.js'
 
-const IDLE_PERIOD = 2_000
-const DRAIN_LIMIT = 90_000
+const SEARCH_PERIOD = 2_000
+const DRAIN_TIMEOUT = 90_000
 /** Bytes of results that may wait for the platform before nothing more is started. */
-const MAX_WAITING_BYTES = 16_000_000
+const MAX_UNSAVED_BYTES = 16_000_000
 
-interface Wanted { slots: number, looking: boolean, nextLook: number }
+interface Demand { slots: number, searching: boolean, nextSearch: number }
 
 /** The source of batch items: claims chunks of open jobs ahead of what the owners of servers can run. */
 @scoped(Lifecycle.ContainerScoped)
@@ -32,13 +32,13 @@
   readonly extensions = [batchSourcePoint.of(this)]
   /** Daemons of the fleet, kept up to date by whoever knows them. */
   fleetSize = 1
-  private readonly wanted = new Map<string, Wanted>()
+  private readonly demands = new Map<string, Demand>()
   private readonly held = new HeldChunks()
   private readonly listeners = new Set<(service: string) => void>()
   private readonly freedListeners = new Set<(chunk: string) => void>()
   private draining = false
   /** Counts what others said of new or freed work. */
-  private news = 0
+  private announcements = 0
   private cancelTimer = (): void => {}
 
   constructor (
@@ -50,11 +50,11 @@
     @inject(tokens.clock) private readonly clock: Clock
   ) {
     jobs.subscribe(job => this.stopJob(job))
-    pauses.subscribe(() => this.checkAll())
+    pauses.subscribe(() => this.recheckAll())
   }
 
   async start (): Promise<void> {
-    this.cancelTimer = this.clock.every(IDLE_PERIOD, () => this.lookForMore())
+    this.cancelTimer = this.clock.every(SEARCH_PERIOD, () => this.searchAll())
   }
 
   /**
@@ -64,29 +64,29 @@
   async drain (): Promise<void> {
     this.draining = true
     this.cancelTimer()
-    const released = Promise.all(this.held.all().map(async held => await held.release()))
-    const limit = pauseFor(this.clock, DRAIN_LIMIT)
+    const released = Promise.all(this.held.list().map(async held => await held.release()))
+    const limit = pauseFor(this.clock, DRAIN_TIMEOUT)
     const finished = released.then(async () => await this.claims.waitForCounts()).then(async () => await this.holding.write())
     await Promise.race([finished, limit])
   }
 
   want (service: string, slots: number): void {
-    const wanted = this.wanted.get(service) ?? { slots: 0, looking: false, nextLook: 0 }
-    this.wanted.set(service, wanted)
-    wanted.slots = slots
+    const demand = this.demands.get(service) ?? { slots: 0, searching: false, nextSearch: 0 }
+    this.demands.set(service, demand)
+    demand.slots = slots
     // A daemon whose servers are all gone would keep what it claimed from those that could run it.
-    if (slots === 0) for (const held of this.held.ofService(service)) void held.release()
+    if (slots === 0) for (const held of this.held.listByService(service)) void held.release()
     this.prepare(service)
-    void this.look(service, wanted)
+    void this.search(service, demand)
   }
 
   take (service: string): BatchWork | undefined {
-    if (this.draining || this.held.countWaiting() > MAX_WAITING_BYTES) return undefined
-    for (const held of this.held.ofService(service)) {
+    if (this.draining || this.held.countUnsavedBytes() > MAX_UNSAVED_BYTES) return undefined
+    for (const held of this.held.listByService(service)) {
       if (!held.options.mayStart()) continue
       const work = held.take()
       if (work === undefined) continue
-      this.finder.countUse(work.caller, work.job)
+      this.finder.countUsage(work.caller, work.job)
       return work
     }
     return undefined
@@ -103,45 +103,45 @@
 
   /** Results of held chunks that aren't known to be durable. */
   listUnsaved (): readonly SpoolEntry[] {
-    return this.held.all().flatMap(held => held.unsaved.map(entry => ({ chunk: held.name, items: held.options.items.length, ...entry })))
+    return this.held.list().flatMap(held => held.unsaved.map(entry => ({ chunk: held.name, items: held.options.items.length, ...entry })))
   }
 
   /** Looks for work of these services now, or of all, because somebody said that there is some. */
-  lookAgain (services: readonly string[] = [...this.wanted.keys()]): void {
-    this.news++
-    this.finder.forgetBusy()
+  searchAgain (services: readonly string[] = [...this.demands.keys()]): void {
+    this.announcements++
+    this.finder.clearBusy()
     for (const service of services) {
-      const wanted = this.wanted.get(service)
-      if (wanted === undefined) continue
-      wanted.nextLook = 0
-      void this.look(service, wanted)
+      const demand = this.demands.get(service)
+      if (demand === undefined) continue
+      demand.nextSearch = 0
+      void this.search(service, demand)
     }
   }
 
   private prepare (service: string): void {
-    const slots = this.wanted.get(service)?.slots ?? 0
-    for (const held of this.held.ofService(service)) held.prepare(slots)
+    const slots = this.demands.get(service)?.slots ?? 0
+    for (const held of this.held.listByService(service)) held.prepare(slots)
   }
 
-  private tell (service: string): void {
+  private notifyReady (service: string): void {
     this.prepare(service)
     for (const listener of this.listeners) listener(service)
   }
 
   private stopJob (job: string): void {
-    for (const held of this.held.ofJob(job)) void held.release({ abort: true })
+    for (const held of this.held.listByJob(job)) void held.release({ abort: true })
   }
 
-  private checkAll (): void {
-    for (const held of this.held.all()) void held.check()
+  private recheckAll (): void {
+    for (const held of this.held.list()) void held.check()
   }
 
-  private lookForMore (): void {
-    for (const [service, wanted] of this.wanted) void this.look(service, wanted)
+  private searchAll (): void {
+    for (const [service, demand] of this.demands) void this.search(service, demand)
   }
 
-  private needsMore (service: string, { slots }: Wanted): boolean {
-    return !this.draining && this.held.countReady(service) < slots && this.held.countWaiting() <= MAX_WAITING_BYTES
+  private needsMore (service: string, { slots }: Demand): boolean {
+    return !this.draining && this.held.countReady(service) < slots && this.held.countUnsavedBytes() <= MAX_UNSAVED_BYTES
   }
 
   /**
@@ -149,20 +149,20 @@
    * comes during a look is too late for what that look has read: it finds the freed chunk still held and puts it
    * aside, so that the chunk waits out the pause, up to a minute in a large fleet. Such a look is repeated at once.
    */
-  private async look (service: string, wanted: Wanted): Promise<void> {
-    if (wanted.looking || this.clock.now() < wanted.nextLook) return
-    wanted.looking = true
-    while (this.needsMore(service, wanted)) {
-      const { news } = this
+  private async search (service: string, demand: Demand): Promise<void> {
+    if (demand.searching || this.clock.now() < demand.nextSearch) return
+    demand.searching = true
+    while (this.needsMore(service, demand)) {
+      const { announcements } = this
       if (await this.claimMore(service)) continue
-      if (news !== this.news) {
-        this.finder.forgetBusy()
+      if (announcements !== this.announcements) {
+        this.finder.clearBusy()
         continue
       }
-      wanted.nextLook = this.clock.now() + planLookPause(this.fleetSize)
+      demand.nextSearch = this.clock.now() + planSearchPause(this.fleetSize)
       break
     }
-    wanted.looking = false
+    demand.searching = false
   }
 
   private async claimMore (service: string): Promise<boolean> {
@@ -176,24 +176,24 @@
   private async claimChunk (job: Job, { n, service, items }: { readonly n: number, readonly service: string, readonly items: number }): Promise<boolean> {
     const name = `${job.id}.${n}`
     const held = await this.claims.claim({
-      job, n, service, items, mayStart: () => this.jobs.mayStart(job.id), onReady: () => this.tell(service), onEnd: chunk => this.drop(name, job, chunk)
+      job, n, service, items, mayStart: () => this.jobs.mayStart(job.id), onReady: () => this.notifyReady(service), onEnd: chunk => this.handleEnd(name, job, chunk)
     })
     if (!(held instanceof HeldChunk)) {
-      this.finder.putAside(name)
+      this.finder.markBusy(name)
       return false
     }
     this.held.add(held)
     // The job may have been cancelled, or the daemon told to drain, while the claim was on its way.
-    const goesOn = this.jobs.watches(job.id) || await this.jobs.check(job.id) !== undefined
-    if (!goesOn || this.draining) void held.release({ abort: true })
-    else this.tell(service)
+    const inProgress = this.jobs.isWatching(job.id) || await this.jobs.check(job.id) !== undefined
+    if (!inProgress || this.draining) void held.release({ abort: true })
+    else this.notifyReady(service)
     return true
   }
 
-  private drop (name: string, job: Job, { closed, holder }: Chunk): void {
+  private handleEnd (name: string, job: Job, { closed, holder }: Chunk): void {
     this.held.remove(name)
-    if (closed === undefined && holder === undefined && this.jobs.watches(job.id)) for (const listener of this.freedListeners) listener(name)
-    if (this.held.ofJob(job.id).length === 0) this.jobs.remove(job.id)
+    if (closed === undefined && holder === undefined && this.jobs.isWatching(job.id)) for (const listener of this.freedListeners) listener(name)
+    if (this.held.listByJob(job.id).length === 0) this.jobs.remove(job.id)
   }
 }
 
--- a/src/batch/chunk-record.ts
+++ b/src/batch/chunk-writer.ts
@@ -17,7 +17,7 @@
 const MAX_CONFLICTS = 3
 const ENTRY_BYTES = 100
 
-interface ChunkRecordOptions {
+interface ChunkWriterOptions {
   readonly store: ObjectStore
   readonly clock: Clock
   readonly by: Incarnation
@@ -32,11 +32,11 @@
  * What the holder of a chunk records in it, many entries in one conditional update. After a conflict it takes the
  * chunk as it now is and adds what is still open there: first recorded wins, also for a holder that lost its claim.
  */
-export class ChunkRecord {
+export class ChunkWriter {
   private object: StoredObject<Chunk>
   private readonly commit: GroupCommit<ChunkEntry, StoreError>
 
-  constructor (private readonly options: ChunkRecordOptions) {
+  constructor (private readonly options: ChunkWriterOptions) {
     this.object = options.object
     this.commit = new GroupCommit<ChunkEntry, StoreError>({
       clock: options.clock,
@@ -53,7 +53,7 @@
     return this.object.value
   }
 
-  get held (): boolean {
+  get isHeld (): boolean {
     return isHolder(this.chunk, this.options.by)
   }
 
@@ -77,7 +77,7 @@
   async refresh (): Promise<Result<void, StoreError>> {
     const read = await this.options.store.get<Chunk>('chunk', this.object.name)
     if (read.err) return read
-    this.take(read.val)
+    this.acceptRead(read.val)
     return Ok(undefined)
   }
 
@@ -86,7 +86,7 @@
       const next = recordEntries(this.chunk, entries, this.options)
       if (next === this.chunk) return Ok(undefined)
       const written = await this.put(next)
-      if (written.ok) this.take(written.val)
+      if (written.ok) this.acceptRead(written.val)
       if (written.ok) return Ok(undefined)
       if (written.val.type !== 'conflict') return written
       const read = await this.refresh()
@@ -97,14 +97,14 @@
 
   private async put (next: Chunk): Promise<Result<StoredObject<Chunk>, StoreError>> {
     const { store } = this.options
-    const small = await spillResults(store, this.object.name, next)
-    return small.ok ? await store.put('chunk', this.object.name, small.val, this.object.version) : small
+    const spilled = await spillResults(store, this.object.name, next)
+    return spilled.ok ? await store.put('chunk', this.object.name, spilled.val, this.object.version) : spilled
   }
 
   /** An old read never takes the place of what is known. */
-  private take (object: StoredObject<Chunk>): void {
+  private acceptRead (object: StoredObject<Chunk>): void {
     if (object.version <= this.object.version) return
     this.object = object
-    if (!this.held) this.options.onChange()
+    if (!this.isHeld) this.options.onChange()
   }
 }
--- a/src/batch/recovery.ts
+++ b/src/batch/claim-recovery.ts
@@ -11,7 +11,7 @@
 
 /** Frees what a dead daemon held: one read tells what that is. */
 @scoped(Lifecycle.ContainerScoped)
-export class Recovery {
+export class ClaimRecovery {
   constructor (
     @inject(tokens.store) private readonly store: ObjectStore,
     @inject(Timeline) private readonly timeline: Timeline
--- a/src/batch/cleaner.ts
+++ b/src/batch/expiry-cleaner.ts
@@ -29,7 +29,7 @@
  * that was cut short is done again from its start.
  */
 @scoped(Lifecycle.ContainerScoped)
-export class Cleaner implements Part {
+export class ExpiryCleaner implements Part {
   private cleaning = false
   private cancelTimer = (): void => {}
 
@@ -56,24 +56,24 @@
   }
 
   private async clean (): Promise<void> {
-    if (this.cleaning || rankOwners('clean-up', this.members.owners())[0] !== this.holding.by.instance) return
+    if (this.cleaning || rankOwners('clean-up', this.members.owners())[0] !== this.holding.incarnation.instance) return
     this.cleaning = true
     const due = (await this.expiries.list(this.clock.date())).unwrapOr([])
-    for (const expiry of due) await this.look(expiry)
+    for (const expiry of due) await this.checkExpiry(expiry)
     await this.cancelled.clean()
     this.cleaning = false
   }
 
   /** Removes it, or has it looked at again tomorrow; whatever fails is met again at the next look. */
-  private async look (expiry: Expiry & { readonly name: string }): Promise<void> {
-    const removed = expiry.type === 'job' ? await this.lookAtJob(expiry.id) : await this.lookAtFile(expiry.id)
+  private async checkExpiry (expiry: Expiry & { readonly name: string }): Promise<void> {
+    const removed = expiry.type === 'job' ? await this.checkJob(expiry.id) : await this.checkFile(expiry.id)
     if (removed === 'failed') return
     if (removed === 'kept' && (await this.expiries.add(expiry, this.clock.date() + DAY)).err) return
     if (removed === 'removed') this.timeline.record({ part: 'batch', what: 'removed', job: expiry.id })
     await this.expiries.remove(expiry.name)
   }
 
-  private async lookAtJob (id: string): Promise<'removed' | 'kept' | 'failed'> {
+  private async checkJob (id: string): Promise<'removed' | 'kept' | 'failed'> {
     const job = await this.jobs.read(id, 'background')
     if (job.err) return job.val.type === 'missing' ? 'removed' : 'failed'
     const keep = this.configuration.value.limits.resultKeep
@@ -92,7 +92,7 @@
   }
 
   /** A file goes once no job names it and its time is over; jobs read their items' names from it to the last. */
-  private async lookAtFile (id: string): Promise<'removed' | 'kept' | 'failed'> {
+  private async checkFile (id: string): Promise<'removed' | 'kept' | 'failed'> {
     const users = await this.store.list('file-job', { prefix: `${id}~`, limit: 1 })
     if (users.err) return 'failed'
     if (users.val.length > 0) return 'kept'
@@ -124,4 +124,4 @@
   }
 }
 
-partRegistry.register({ name: 'batch clean-up', part: Cleaner, needs: ['members', 'holding record', 'configuration'] })
+partRegistry.register({ name: 'batch clean-up', part: ExpiryCleaner, needs: ['members', 'holding record', 'configuration'] })
--- a/src/batch/file-routes.ts
+++ b/src/batch/file-routes.ts
@@ -53,24 +53,24 @@
     const limit = this.configuration.value.limits.fileBytes
     const length = Number(req.headers['content-length'] ?? limit)
     if (!(length <= limit)) return sendTooLarge(res, limit)
-    const free = this.budget.take(length)
-    if (free === undefined) return sendProblem(res, { status: 503, code: 'overloaded', detail: 'too many uploads at once', retryAfter: 2_000, more: { ran: 'not run' } })
+    const release = this.budget.reserve(length)
+    if (release === undefined) return sendProblem(res, { status: 503, code: 'overloaded', detail: 'too many uploads at once', retryAfter: 2_000, more: { ran: 'not run' } })
     try {
       const body = await readBody(req, limit)
       if (body.err) return sendTooLarge(res, limit)
-      await this.keep(res, caller, await readFormFile(String(req.headers['content-type']), body.val))
+      await this.storeFile(res, caller, await readFormFile(String(req.headers['content-type']), body.val))
     } finally {
-      free()
+      release()
     }
   }
 
-  private async keep (res: Response, caller: string, file: Awaited<ReturnType<typeof readFormFile>>): Promise<void> {
+  private async storeFile (res: Response, caller: string, file: Awaited<ReturnType<typeof readFormFile>>): Promise<void> {
     if (file === undefined) return sendProblem(res, { status: 400, code: 'no-file', detail: 'file: must be a file of a multipart form' })
     const items = readUpload(file.content, this.configuration.value.services)
     if (items.err) return sendProblem(res, { status: 400, code: 'bad-file', detail: `file: line ${items.val[0]!.line}: ${items.val[0]!.message}`, more: { findings: items.val } })
-    const kept = await this.files.create({ caller, name: file.name, bytes: Buffer.byteLength(file.content), items: items.val })
-    if (kept.err) return sendStoreProblem(res, kept.val)
-    sendJson(res, 200, showFile(kept.val))
+    const stored = await this.files.create({ caller, name: file.name, bytes: Buffer.byteLength(file.content), items: items.val })
+    if (stored.err) return sendStoreProblem(res, stored.val)
+    sendJson(res, 200, showFile(stored.val))
   }
 
   private async list (req: Request, res: Response, caller: string): Promise<void> {
--- a/src/batch/file-store.ts
+++ b/src/batch/file-store.ts
@@ -40,8 +40,8 @@
    */
   async create ({ caller, name, bytes, items }: Upload): Promise<Result<BatchFile, StoreError>> {
     const id = `file-${hashId(caller, [...items])}`
-    const known = await this.read(id)
-    if (known.ok) return known
+    const existing = await this.read(id)
+    if (existing.ok) return existing
     const services: ServiceChunks[] = []
     for (const [service, all] of items) {
       const chunks = splitItems(all)
@@ -51,7 +51,7 @@
       }
       services.push({ service, sizes: chunks.map(({ length }) => length) })
     }
-    return await this.keep({ id, caller, name, bytes, items: [...items.values()].reduce((sum, { length }) => sum + length, 0), services, created: this.clock.date() })
+    return await this.save({ id, caller, name, bytes, items: [...items.values()].reduce((sum, { length }) => sum + length, 0), services, created: this.clock.date() })
   }
 
   async read (id: string): Promise<Result<BatchFile, StoreError>> {
@@ -84,7 +84,7 @@
     return await this.index.remove('file', file)
   }
 
-  private async keep (file: BatchFile): Promise<Result<BatchFile, StoreError>> {
+  private async save (file: BatchFile): Promise<Result<BatchFile, StoreError>> {
     const due = await this.expiries.add({ type: 'file', id: file.id }, file.created + this.configuration.value.limits.resultKeep)
     if (due.err) return due
     const listed = await this.index.add('file', file)
--- a/src/batch/held-chunk.ts
+++ b/src/batch/held-chunk.ts
@@ -5,7 +5,7 @@
 import type { ObjectStore } from '../store/object-store.js'
 import type { StoredObject } from '../store/stored-object.js'
 import type { Chunk } from './chunk.js'
-import { ChunkRecord } from './chunk-record.js'
+import { ChunkWriter } from './chunk-writer.js'
 import type { Item } from './item.js'
 import { ItemQueue } from './item-queue.js'
 import type { ItemResult } from './item-result.js'
@@ -14,7 +14,7 @@
 import { listRecorded } from './list-recorded.js'
 import { planRetry } from './plan-retry.js'
 
-const CHECK_PAUSE = 500
+const RECHECK_PAUSE = 500
 /** Marked items that wait to be taken: each is lost as unknown when this daemon dies. */
 const MAX_MARKED = 4
 
@@ -42,33 +42,33 @@
   readonly name: string
   private readonly queue = new ItemQueue()
   private readonly running = new Map<number, AbortController>()
-  private readonly record: ChunkRecord
-  private readonly open: Set<number>
-  private readonly closing: Array<() => void> = []
+  private readonly writer: ChunkWriter
+  private readonly unrecorded: Set<number>
+  private readonly releaseWaiters: Array<() => void> = []
   private state: 'running' | 'releasing' | 'ended' = 'running'
-  private paused = false
+  private rechecking = false
   private slots = 0
 
   constructor (readonly options: HeldChunkOptions) {
     const { store, clock, by, items, object } = options
     this.name = object.name
-    this.record = new ChunkRecord({ store, clock, by, items: items.length, object, onChange: () => this.end() })
+    this.writer = new ChunkWriter({ store, clock, by, items: items.length, object, onChange: () => this.end() })
     const recorded = listRecorded(object.value)
-    this.open = new Set(items.keys())
-    for (const item of recorded) this.open.delete(item)
-    for (const item of this.open) this.queue.add(item, { idempotent: items[item]!.idempotent !== false })
+    this.unrecorded = new Set(items.keys())
+    for (const item of recorded) this.unrecorded.delete(item)
+    for (const item of this.unrecorded) this.queue.add(item, { idempotent: items[item]!.idempotent !== false })
   }
 
   get ready (): number {
-    return this.state === 'running' && !this.paused ? this.queue.size.ready + this.queue.size.unmarked : 0
+    return this.state === 'running' && !this.rechecking ? this.queue.size.ready + this.queue.size.unmarked : 0
   }
 
-  get waitingBytes (): number {
-    return this.record.waiting.size
+  get unsavedBytes (): number {
+    return this.writer.waiting.size
   }
 
   get unsaved (): readonly { readonly item: number, readonly result: ItemResult }[] {
-    return this.record.waiting.entries.flatMap(entry => entry.type === 'result' ? [entry] : [])
+    return this.writer.waiting.entries.flatMap(entry => entry.type === 'result' ? [entry] : [])
   }
 
   /** Has non-idempotent items marked as started, a few ahead, until `slots` items are ready. */
@@ -80,7 +80,7 @@
   }
 
   take (): BatchWork | undefined {
-    const pending = this.state === 'running' && !this.paused ? this.queue.take() : undefined
+    const pending = this.state === 'running' && !this.rechecking ? this.queue.take() : undefined
     if (pending === undefined) return undefined
     const { job, items, service } = this.options
     const stop = new AbortController()
@@ -97,7 +97,7 @@
       avoid: pending.avoid,
       idempotent: item.idempotent !== false,
       signal: stop.signal,
-      mayStart: () => this.options.mayStart() && !this.paused,
+      mayStart: () => this.options.mayStart() && !this.rechecking,
       finish: result => this.finish(pending.item, result),
       giveBack: (why, back) => this.takeBack(pending, why, back)
     }
@@ -105,9 +105,9 @@
 
   /** Starts nothing until the chunk was read again and is still held; after a pause it may be another's. */
   async check (): Promise<void> {
-    this.paused = true
-    while (this.state === 'running' && (await this.record.refresh()).err) await this.wait(CHECK_PAUSE)
-    this.paused = false
+    this.rechecking = true
+    while (this.state === 'running' && (await this.writer.refresh()).err) await this.wait(RECHECK_PAUSE)
+    this.rechecking = false
     if (this.ready > 0) this.options.onReady()
   }
 
@@ -115,8 +115,8 @@
   async release ({ abort = false } = {}): Promise<void> {
     if (this.state === 'ended') return
     this.state = 'releasing'
-    const released = new Promise<void>(resolve => this.closing.push(resolve))
-    this.queue.drop()
+    const released = new Promise<void>(resolve => this.releaseWaiters.push(resolve))
+    this.queue.clear()
     if (abort) this.abort()
     this.step()
     await released
@@ -124,22 +124,22 @@
 
   private async mark (pending: Pending): Promise<void> {
     const { item } = pending
-    if ((await this.record.add({ type: 'started', item }, { urgent: true })).err) return this.end()
-    if (!this.record.chunk.started.includes(item) || !this.record.held) return
-    this.queue.put(pending)
+    if ((await this.writer.add({ type: 'started', item }, { urgent: true })).err) return this.end()
+    if (!this.writer.chunk.started.includes(item) || !this.writer.isHeld) return
+    this.queue.addMarked(pending)
     this.options.onReady()
   }
 
   private finish (item: number, result: ItemResult): void {
     if (!this.running.delete(item)) return
-    if (this.state !== 'ended') void this.keep(item, limitResult(result))
+    if (this.state !== 'ended') void this.recordResult(item, limitResult(result))
   }
 
-  private async keep (item: number, result: ItemResult): Promise<void> {
-    this.open.delete(item)
-    const kept = this.record.add({ type: 'result', item, result })
+  private async recordResult (item: number, result: ItemResult): Promise<void> {
+    this.unrecorded.delete(item)
+    const recorded = this.writer.add({ type: 'result', item, result })
     this.step()
-    if ((await kept).err) this.end()
+    if ((await recorded).err) this.end()
     else this.step()
   }
 
@@ -149,18 +149,18 @@
     const plan = planRetry({ why, ran, idempotent, attempts: pending.attempts, server })
     if (plan.type === 'finish') return this.finish(pending.item, plan.result)
     this.running.delete(pending.item)
-    if (this.state !== 'running') return this.takeBackLate(pending)
+    if (this.state !== 'running') return this.takeBackWhileReleasing(pending)
     const avoid = why === 'server failed' ? [...pending.avoid, server] : pending.avoid
-    this.putBack({ ...pending, attempts: plan.attempts, avoid, tokens: tokens ?? pending.tokens }, plan.pause)
+    this.requeue({ ...pending, attempts: plan.attempts, avoid, tokens: tokens ?? pending.tokens }, plan.pause)
   }
 
   /** Given back while letting go: a started mark is taken away, because the item is known not to have run. */
-  private takeBackLate ({ item }: Pending): void {
-    if (this.state === 'releasing' && this.options.items[item]!.idempotent === false) void this.record.add({ type: 'not started', item })
+  private takeBackWhileReleasing ({ item }: Pending): void {
+    if (this.state === 'releasing' && this.options.items[item]!.idempotent === false) void this.writer.add({ type: 'not started', item })
     this.step()
   }
 
-  private putBack (pending: Pending, pause: number): void {
+  private requeue (pending: Pending, pause: number): void {
     const makeReady = this.queue.delay(pending, { front: pause === 0 })
     this.options.clock.after(pause, () => {
       if (this.state !== 'running') return
@@ -172,14 +172,14 @@
   /** Records without waiting for more once nothing is left to run, and lets go where that is asked for. */
   private step (): void {
     if (this.state === 'ended' || this.running.size > 0) return
-    if (this.open.size === 0) this.record.flush()
-    if (this.state === 'releasing' && this.open.size > 0) void this.letGo()
+    if (this.unrecorded.size === 0) this.writer.flush()
+    if (this.state === 'releasing' && this.unrecorded.size > 0) void this.releaseClaim()
   }
 
-  private async letGo (): Promise<void> {
-    this.open.clear()
-    for (const item of this.queue.listMarked()) void this.record.add({ type: 'not started', item })
-    await this.record.add({ type: 'released' }, { urgent: true })
+  private async releaseClaim (): Promise<void> {
+    this.unrecorded.clear()
+    for (const item of this.queue.listMarked()) void this.writer.add({ type: 'not started', item })
+    await this.writer.add({ type: 'released' }, { urgent: true })
     this.end()
   }
 
@@ -190,10 +190,10 @@
   private end (): void {
     if (this.state === 'ended') return
     this.state = 'ended'
-    this.queue.drop()
+    this.queue.clear()
     this.abort()
-    this.options.onEnd(this.record.chunk)
-    for (const resolve of this.closing) resolve()
+    this.options.onEnd(this.writer.chunk)
+    for (const resolve of this.releaseWaiters) resolve()
   }
 
   private async wait (time: number): Promise<void> {
--- a/src/batch/held-chunks.ts
+++ b/src/batch/held-chunks.ts
@@ -16,25 +16,25 @@
     this.chunks.delete(name)
   }
 
-  all (): readonly HeldChunk[] {
+  list (): readonly HeldChunk[] {
     return [...this.chunks.values()]
   }
 
-  ofService (service: string): readonly HeldChunk[] {
-    return this.all().filter(held => held.options.service === service)
+  listByService (service: string): readonly HeldChunk[] {
+    return this.list().filter(held => held.options.service === service)
   }
 
-  ofJob (job: string): readonly HeldChunk[] {
-    return this.all().filter(held => held.options.job.id === job)
+  listByJob (job: string): readonly HeldChunk[] {
+    return this.list().filter(held => held.options.job.id === job)
   }
 
   /** Bytes of results that aren't known to be durable. */
-  countWaiting (): number {
-    return this.all().reduce((sum, held) => sum + held.waitingBytes, 0)
+  countUnsavedBytes (): number {
+    return this.list().reduce((sum, held) => sum + held.unsavedBytes, 0)
   }
 
   /** Items of the service that could be taken now, or once they are marked. */
   countReady (service: string): number {
-    return this.ofService(service).reduce((sum, held) => sum + held.ready, 0)
+    return this.listByService(service).reduce((sum, held) => sum + held.ready, 0)
   }
 }
--- a/src/batch/holding-record.ts
+++ b/src/batch/holding-record.ts
@@ -10,7 +10,7 @@
 import type { StoreError } from '../store/store-error.js'
 import type { Holding } from './holding.js'
 
-const LEASE = 60_000
+const LEASE_LENGTH = 60_000
 const RENEW_PERIOD = 15_000
 
 /**
@@ -19,7 +19,7 @@
  */
 @scoped(Lifecycle.ContainerScoped)
 export class HoldingRecord implements Part {
-  readonly by: Incarnation
+  readonly incarnation: Incarnation
   private readonly chunks = new Set<string>()
   private version = 0
   private writing: Promise<unknown> = Promise.resolve()
@@ -30,7 +30,7 @@
     @inject(tokens.clock) private readonly clock: Clock,
     @inject(tokens.settings) settings: Settings
   ) {
-    this.by = { instance: settings.instance, started: clock.date() }
+    this.incarnation = { instance: settings.instance, started: clock.date() }
   }
 
   async start (): Promise<void> {
@@ -66,14 +66,14 @@
   /** After a conflict or a lost reply the object is read: only this daemon writes it, so its version is the one to use. */
   private async put (): Promise<Result<void, StoreError>> {
     for (let tries = 0; ; tries++) {
-      const holding: Holding = { started: this.by.started, until: this.clock.date() + LEASE, chunks: [...this.chunks] }
-      const put = await this.store.put('holding', this.by.instance, holding, this.version)
+      const holding: Holding = { started: this.incarnation.started, until: this.clock.date() + LEASE_LENGTH, chunks: [...this.chunks] }
+      const put = await this.store.put('holding', this.incarnation.instance, holding, this.version)
       if (put.ok) {
         this.version = put.val.version
         return Ok(undefined)
       }
       if (tries === 2 || put.val.type === 'limited' || put.val.type === 'invalid') return put
-      const read = await this.store.get<Holding>('holding', this.by.instance)
+      const read = await this.store.get<Holding>('holding', this.incarnation.instance)
       if (read.err && read.val.type !== 'missing') return read
       this.version = read.ok ? read.val.version : 0
     }
--- a/src/batch/item-queue.ts
+++ b/src/batch/item-queue.ts
@@ -42,7 +42,7 @@
     return taken
   }
 
-  put (pending: Pending): void {
+  addMarked (pending: Pending): void {
     this.ready.push(pending)
   }
 
@@ -62,7 +62,7 @@
     return [...this.marked]
   }
 
-  drop (): void {
+  clear (): void {
     this.ready.length = 0
     this.unmarked.length = 0
     this.delayed.clear()
--- a/src/batch/job-counter.ts
+++ b/src/batch/job-counter.ts
@@ -6,7 +6,7 @@
 import type { StoreError } from '../store/store-error.js'
 import type { Counts } from './counts.js'
 import type { Job } from './job.js'
-import { JobEnds } from './job-ends.js'
+import { JobOutcomes } from './job-outcomes.js'
 import { JobStore } from './job-store.js'
 import { listChunks } from './list-chunks.js'
 import { WorkIndex } from './work-index.js'
@@ -27,7 +27,7 @@
     @inject(JobStore) private readonly jobs: JobStore,
     @inject(WorkIndex) private readonly work: WorkIndex,
     @inject(tokens.clock) private readonly clock: Clock,
-    @inject(JobEnds) private readonly ends: JobEnds
+    @inject(JobOutcomes) private readonly outcomes: JobOutcomes
   ) {}
 
   /** Resolves once the job has the counts, or is there no more. */
@@ -50,9 +50,9 @@
 
   private async write (id: string, finished: readonly Finished[]): Promise<Result<void, StoreError>> {
     const closed = new Map(finished.map(({ n, counts }) => [n, counts]))
-    const written = await this.jobs.update(id, job => this.ends.apply(job, closed))
+    const written = await this.jobs.update(id, job => this.outcomes.apply(job, closed))
     if (written.err) return written
-    this.ends.count(written.val)
+    this.outcomes.count(written.val)
     return await this.removeWork(written.val)
   }
 
--- a/src/batch/job-settler.ts
+++ b/src/batch/job-finalizer.ts
@@ -7,7 +7,7 @@
 import type { Counts } from './counts.js'
 import { HoldingRecord } from './holding-record.js'
 import type { Job } from './job.js'
-import { JobEnds } from './job-ends.js'
+import { JobOutcomes } from './job-outcomes.js'
 import { JobStore } from './job-store.js'
 import { listChunks } from './list-chunks.js'
 import { WorkIndex } from './work-index.js'
@@ -21,27 +21,27 @@
  * are created closed, because a claim that is on its way must fail. Any daemon may do it, also several at once.
  */
 @scoped(Lifecycle.ContainerScoped)
-export class JobSettler {
+export class JobFinalizer {
   constructor (
     @inject(tokens.store) private readonly store: ObjectStore,
     @inject(tokens.clock) private readonly clock: Clock,
     @inject(JobStore) private readonly jobs: JobStore,
     @inject(WorkIndex) private readonly work: WorkIndex,
     @inject(HoldingRecord) private readonly holding: HoldingRecord,
-    @inject(JobEnds) private readonly ends: JobEnds
+    @inject(JobOutcomes) private readonly outcomes: JobOutcomes
   ) {}
 
   /** One pass; says whether the job has come to its end. */
-  async settle (job: Job): Promise<boolean> {
+  async finalize (job: Job): Promise<boolean> {
     const closed = new Map<number, Counts>()
     for (const { n, items } of listChunks(job.services)) {
       if (job.finished[n] !== undefined) continue
       const counts = await this.close(job, n, items)
       if (counts !== undefined) closed.set(n, counts)
     }
-    const told = await this.jobs.update(job.id, job => this.ends.apply(job, closed))
-    if (told.err || told.val.ended === undefined) return false
-    this.ends.count(told.val)
+    const updated = await this.jobs.update(job.id, job => this.outcomes.apply(job, closed))
+    if (updated.err || updated.val.ended === undefined) return false
+    this.outcomes.count(updated.val)
     for (const { service } of job.services) {
       const removed = await this.work.remove({ job: job.id, service, due: job.due })
       if (removed.err) return false
@@ -56,7 +56,7 @@
     if (read.err && read.val.type !== 'missing') return undefined
     const chunk: Chunk = read.ok ? read.val.value : { results: {}, parts: [], started: [] }
     if (chunk.closed === undefined && chunk.holder !== undefined && this.clock.date() - (job.cancelled ?? 0) < HOLDER_GRACE) return undefined
-    const next = closeChunk(chunk, { items, by: this.holding.by })
+    const next = closeChunk(chunk, { items, by: this.holding.incarnation })
     if (next !== chunk && (await this.store.put('chunk', name, next, read.ok ? read.val.version : 0)).err) return undefined
     const { completed, failed, cancelled } = next.closed!
     return { completed, failed, cancelled }
--- a/src/batch/job-ends.ts
+++ b/src/batch/job-outcomes.ts
@@ -17,7 +17,7 @@
  * reply leaves open whose write it was, and the job is counted by nobody or by two.
  */
 @scoped(Lifecycle.ContainerScoped)
-export class JobEnds {
+export class JobOutcomes {
   private readonly counted = new Set<string>()
 
   constructor (
@@ -30,12 +30,12 @@
   /** The job with the counts of closed chunks; where it ends with them, by this run. */
   apply (job: Job, closed: ReadonlyMap<number, Counts>): Job {
     const next = finishChunks(job, closed, this.clock.date())
-    return next.ended === undefined || job.ended !== undefined ? next : { ...next, endedBy: this.holding.by }
+    return next.ended === undefined || job.ended !== undefined ? next : { ...next, endedBy: this.holding.incarnation }
   }
 
   /** To be called with a job as the platform has it. */
   count ({ id, caller, services, status, due, ended, endedBy }: Job): void {
-    const { instance, started } = this.holding.by
+    const { instance, started } = this.holding.incarnation
     if (ended === undefined || endedBy?.instance !== instance || endedBy.started !== started || this.counted.has(id)) return
     this.counted.add(id)
     if (this.counted.size > MAX_COUNTED) this.counted.delete(this.counted.values().next().value!)
--- a/src/batch/job-routes.ts
+++ b/src/batch/job-routes.ts
@@ -13,7 +13,7 @@
 import { Timeline } from '../observe/timeline.js'
 import { FileStore } from './file-store.js'
 import type { Job } from './job.js'
-import { JobCare } from './job-care.js'
+import { JobSupervisor } from './job-supervisor.js'
 import { JobStore } from './job-store.js'
 import { readJobRequest } from './read-job-request.js'
 import { readPage } from './read-page.js'
@@ -36,22 +36,22 @@
   constructor (
     @inject(FileStore) private readonly files: FileStore,
     @inject(JobStore) private readonly jobs: JobStore,
-    @inject(JobCare) private readonly care: JobCare,
+    @inject(JobSupervisor) private readonly supervisor: JobSupervisor,
     @inject(Account) private readonly account: Account,
     @inject(Timeline) private readonly timeline: Timeline,
     @inject(tokens.clock) private readonly clock: Clock
   ) {}
 
   private async submit (req: Request, res: Response, caller: string): Promise<void> {
-    const asked = readJobRequest((await readBody(req, BODY_LIMIT)).unwrapOr(Buffer.alloc(0)))
-    if (asked.err) return sendProblem(res, { status: 400, code: 'bad-batch', detail: asked.val.join('; '), more: { findings: asked.val } })
-    const file = await this.files.read(asked.val.file)
+    const request = readJobRequest((await readBody(req, BODY_LIMIT)).unwrapOr(Buffer.alloc(0)))
+    if (request.err) return sendProblem(res, { status: 400, code: 'bad-batch', detail: request.val.join('; '), more: { findings: request.val } })
+    const file = await this.files.read(request.val.file)
     if (file.err) return sendStoreProblem(res, file.val)
     if (file.val.caller !== caller) return sendStoreProblem(res, { type: 'missing' })
-    const key = String(req.headers['idempotency-key'] ?? JSON.stringify([asked.val.file, asked.val.endpoint, asked.val.metadata]))
-    const kept = await this.jobs.create(file.val, { ...asked.val, key })
-    if (kept.err) return sendStoreProblem(res, kept.val)
-    const { job, created } = kept.val
+    const key = String(req.headers['idempotency-key'] ?? JSON.stringify([request.val.file, request.val.endpoint, request.val.metadata]))
+    const result = await this.jobs.create(file.val, { ...request.val, key })
+    if (result.err) return sendStoreProblem(res, result.val)
+    const { job, created } = result.val
     if (created) this.accept(job)
     sendJson(res, 200, showJob(job, this.clock.date()))
   }
@@ -62,7 +62,7 @@
       for (let i = 0; i < items; i++) this.account.count(job.caller, service, 'batch', { type: 'asked' })
     }
     this.timeline.record({ part: 'batch', what: 'accepted', job: job.id, detail: `${job.caller}, ${job.items} items, due ${new Date(job.due).toISOString()}` })
-    this.care.announceSubmit(job.services.map(({ service }) => service))
+    this.supervisor.announceSubmit(job.services.map(({ service }) => service))
   }
 
   private async list (req: Request, res: Response, caller: string): Promise<void> {
@@ -85,7 +85,7 @@
   private async cancel (req: Request, res: Response, caller: string): Promise<void> {
     const job = await this.jobs.cancel(req.params.id!, caller)
     if (job.err) return sendStoreProblem(res, job.val)
-    if (job.val.status === 'cancelling') this.care.announceCancel(job.val.id)
+    if (job.val.status === 'cancelling') this.supervisor.announceCancel(job.val.id)
     this.timeline.record({ part: 'batch', what: 'cancelled', job: job.val.id, detail: caller })
     sendJson(res, 200, showJob(job.val, this.clock.date()))
   }
--- a/src/batch/job-store.ts
+++ b/src/batch/job-store.ts
@@ -55,16 +55,16 @@
     if (used.err) return used
     const present = await this.store.get('file', file.id, 'caller')
     if (present.err) return present
-    const kept = await createObject<Job>(this.store, 'job', id, {
+    const stored = await createObject<Job>(this.store, 'job', id, {
       id, caller: file.caller, file: file.id, endpoint, created, due: created + window, items: file.items, services: file.services, status: 'in_progress', finished: {}, acceptance, metadata
     })
-    if (kept.err) return kept
-    const listed = await this.announce(kept.val)
-    return listed.map(() => ({ job: kept.val, created: kept.val.acceptance === acceptance }))
+    if (stored.err) return stored
+    const listed = await this.addToIndexes(stored.val)
+    return listed.map(() => ({ job: stored.val, created: stored.val.acceptance === acceptance }))
   }
 
   /** Makes the job known to those who look for work, to its caller's listing and to the clean-up. */
-  private async announce (job: Job): Promise<Result<void, StoreError>> {
+  private async addToIndexes (job: Job): Promise<Result<void, StoreError>> {
     const added = job.ended === undefined ? await this.work.add(job) : Ok(undefined)
     if (added.err) return added
     const due = await this.expiries.add({ type: 'job', id: job.id }, job.due + this.configuration.value.limits.resultKeep)
--- a/src/batch/job-care.ts
+++ b/src/batch/job-supervisor.ts
@@ -12,38 +12,38 @@
 import { ChunkSource } from './chunk-source.js'
 import { HoldingRecord } from './holding-record.js'
 import type { Job } from './job.js'
-import { JobSettler } from './job-settler.js'
+import { JobFinalizer } from './job-finalizer.js'
 import { JobStore } from './job-store.js'
 import { JobWatch } from './job-watch.js'
-import { Recovery } from './recovery.js'
+import { ClaimRecovery } from './claim-recovery.js'
 
-const PERIOD = 1_000
-const SETTLE_PERIOD = 1_000
+const RECOVERY_PERIOD = 1_000
+const FINALIZE_PERIOD = 1_000
 /** ms between two looks for holders that nobody remembers. */
-const HOLDERS_PERIOD = 4_000
+const HOLDER_CHECK_PERIOD = 4_000
 /** ms in which chunks that are let go are announced together. */
-const FREED_PAUSE = 100
+const FREED_NOTICE_DELAY = 100
 /** Daemons that hear of chunks let go: enough that some have room, and few beside 380 that would all read at once. */
-const MAX_TOLD = 16
+const MAX_FREED_RECIPIENTS = 16
 const CANCELLED = 'batch cancelled'
 const SUBMITTED = 'batch submitted'
 const FREED = 'batch freed'
 
 /** Speeds up by peer messages what the platform's objects make safe, and looks after what dead daemons left. */
 @scoped(Lifecycle.ContainerScoped)
-export class JobCare implements Part {
+export class JobSupervisor implements Part {
   readonly extensions = [
     peerHandlerPoint.of({ type: CANCELLED, handle: (message: PeerMessage) => { void this.handleCancelled(message) } }),
-    peerHandlerPoint.of({ type: FREED, handle: () => this.source.lookAgain() }),
+    peerHandlerPoint.of({ type: FREED, handle: () => this.source.searchAgain() }),
     peerHandlerPoint.of({ type: SUBMITTED, handle: (message: PeerMessage) => this.handleSubmitted(message) })
   ]
 
-  private readonly settling = new Set<string>()
-  private known: readonly string[] = []
+  private readonly finalizing = new Set<string>()
+  private knownMembers: readonly string[] = []
   /** Holders that were no members at the last look. */
-  private strangers: readonly string[] = []
-  private nextLook = 0
-  private announcing = false
+  private unknownHolders: readonly string[] = []
+  private nextHolderCheck = 0
+  private freedNoticeScheduled = false
   private cancelTimer = (): void => {}
 
   constructor (
@@ -53,16 +53,16 @@
     @inject(HoldingRecord) private readonly holding: HoldingRecord,
     @inject(JobWatch) private readonly watch: JobWatch,
     @inject(JobStore) private readonly jobs: JobStore,
-    @inject(JobSettler) private readonly settler: JobSettler,
-    @inject(Recovery) private readonly recovery: Recovery,
+    @inject(JobFinalizer) private readonly finalizer: JobFinalizer,
+    @inject(ClaimRecovery) private readonly recovery: ClaimRecovery,
     @inject(ChunkSource) private readonly source: ChunkSource
   ) {
-    watch.subscribe(job => { void this.settle(job) })
+    watch.subscribe(job => { void this.finalizeCancelled(job) })
     source.subscribeFreed(chunk => this.announceFreed(chunk))
   }
 
   async start (): Promise<void> {
-    this.cancelTimer = this.clock.every(PERIOD, () => { void this.recoverDead() })
+    this.cancelTimer = this.clock.every(RECOVERY_PERIOD, () => { void this.recoverDeadDaemons() })
   }
 
   async stop (): Promise<void> {
@@ -71,14 +71,14 @@
 
   /** Tells every daemon to look at the job now, and brings it to its end. */
   announceCancel (job: string): void {
-    this.tellAll({ type: CANCELLED, job })
+    this.sendToAll({ type: CANCELLED, job })
     void this.watch.check(job)
   }
 
   /** Tells every daemon that there is work for these services. */
   announceSubmit (services: readonly string[]): void {
-    this.tellAll({ type: SUBMITTED, services })
-    this.source.lookAgain(services)
+    this.sendToAll({ type: SUBMITTED, services })
+    this.source.searchAgain(services)
   }
 
   /**
@@ -86,50 +86,50 @@
    * minute in a large fleet; the symptom is a job that stands still after an orderly shutdown for longer than after a kill.
    */
   private announceFreed (chunk: string): void {
-    if (this.announcing) return
-    this.announcing = true
-    this.clock.after(FREED_PAUSE, () => {
-      this.announcing = false
-      const { instance } = this.holding.by
+    if (this.freedNoticeScheduled) return
+    this.freedNoticeScheduled = true
+    this.clock.after(FREED_NOTICE_DELAY, () => {
+      this.freedNoticeScheduled = false
+      const { instance } = this.holding.incarnation
       const others = this.members.owners().filter(name => name !== instance)
-      for (const name of rankOwners(chunk, others).slice(0, MAX_TOLD)) this.links.send(name, { type: FREED })
+      for (const name of rankOwners(chunk, others).slice(0, MAX_FREED_RECIPIENTS)) this.links.send(name, { type: FREED })
     })
   }
 
-  private tellAll (message: PeerMessage): void {
+  private sendToAll (message: PeerMessage): void {
     for (const { instance } of this.members.all()) {
-      if (instance.name !== this.holding.by.instance) this.links.send(instance.name, message)
+      if (instance.name !== this.holding.incarnation.instance) this.links.send(instance.name, message)
     }
   }
 
   private async handleCancelled ({ job }: PeerMessage): Promise<void> {
-    if (typeof job === 'string' && this.watch.watches(job)) await this.watch.check(job)
+    if (typeof job === 'string' && this.watch.isWatching(job)) await this.watch.check(job)
   }
 
   private handleSubmitted ({ services }: PeerMessage): void {
-    if (Array.isArray(services)) this.source.lookAgain(services.filter(service => typeof service === 'string'))
+    if (Array.isArray(services)) this.source.searchAgain(services.filter(service => typeof service === 'string'))
   }
 
   /** Goes on until the job has ended. Others that do the same get in nobody's way, but the first in rank is enough. */
-  private async settle (id: string): Promise<void> {
-    if (this.settling.has(id)) return
-    this.settling.add(id)
+  private async finalizeCancelled (id: string): Promise<void> {
+    if (this.finalizing.has(id)) return
+    this.finalizing.add(id)
     for (let job: Job | undefined; ;) {
       job = (await this.jobs.read(id, 'background')).unwrapOr(job)
-      if (job !== undefined && (job.status !== 'cancelling' || await this.settler.settle(job))) break
+      if (job !== undefined && (job.status !== 'cancelling' || await this.finalizer.finalize(job))) break
       if (job === undefined) break
-      await pauseFor(this.clock, SETTLE_PERIOD)
+      await pauseFor(this.clock, FINALIZE_PERIOD)
     }
-    this.settling.delete(id)
+    this.finalizing.delete(id)
   }
 
-  private async recoverDead (): Promise<void> {
+  private async recoverDeadDaemons (): Promise<void> {
     const alive = this.members.all().map(({ instance }) => instance.name)
     this.source.fleetSize = alive.length
-    const gone = this.known.filter(name => !alive.includes(name))
-    this.known = [...new Set([...this.known, ...alive])]
-    for (const name of gone) if (this.isFirst(`holding/${name}`)) await this.recover(name)
-    await this.recoverStrangers()
+    const departed = this.knownMembers.filter(name => !alive.includes(name))
+    this.knownMembers = [...new Set([...this.knownMembers, ...alive])]
+    for (const name of departed) if (this.isResponsible(`holding/${name}`)) await this.recover(name)
+    await this.recoverUnknownHolders()
   }
 
   /**
@@ -137,27 +137,27 @@
    * has. Remembered members alone miss them, and a job stands still until their lease ends. One daemon of the fleet
    * lists the holders; who is missing at two looks in turn isn't merely late in becoming known.
    */
-  private async recoverStrangers (): Promise<void> {
-    if (!this.isFirst('holdings') || this.clock.now() < this.nextLook) return
-    this.nextLook = this.clock.now() + HOLDERS_PERIOD
+  private async recoverUnknownHolders (): Promise<void> {
+    if (!this.isResponsible('holdings') || this.clock.now() < this.nextHolderCheck) return
+    this.nextHolderCheck = this.clock.now() + HOLDER_CHECK_PERIOD
     const holders = await this.recovery.listHolders()
     const alive = this.members.all().map(({ instance }) => instance.name)
     const missing = holders.filter(name => !alive.includes(name))
-    const before = this.strangers
-    this.strangers = missing
-    for (const name of missing) if (before.includes(name)) await this.recover(name)
+    const missingBefore = this.unknownHolders
+    this.unknownHolders = missing
+    for (const name of missing) if (missingBefore.includes(name)) await this.recover(name)
   }
 
-  private isFirst (thing: string): boolean {
-    return rankOwners(thing, this.members.owners())[0] === this.holding.by.instance
+  private isResponsible (key: string): boolean {
+    return rankOwners(key, this.members.owners())[0] === this.holding.incarnation.instance
   }
 
   private async recover (name: string): Promise<void> {
     if (!await this.recovery.recover(name)) return
-    this.known = this.known.filter(other => other !== name)
-    this.tellAll({ type: FREED })
-    this.source.lookAgain()
+    this.knownMembers = this.knownMembers.filter(other => other !== name)
+    this.sendToAll({ type: FREED })
+    this.source.searchAgain()
   }
 }
 
-partRegistry.register({ name: 'job care', part: JobCare, needs: ['job watch', 'chunk source', 'members', 'peer links'] })
+partRegistry.register({ name: 'job care', part: JobSupervisor, needs: ['job watch', 'chunk source', 'members', 'peer links'] })
--- a/src/batch/job-watch.ts
+++ b/src/batch/job-watch.ts
@@ -10,12 +10,12 @@
 import { JobStore } from './job-store.js'
 import { mayStart } from '../coordination/may-start.js'
 
-const CHECK_PERIOD = 2_000
+const READ_PERIOD = 2_000
 
 /** Looks at the jobs that this daemon holds chunks of, and tells when one has been cancelled. */
 @scoped(Lifecycle.ContainerScoped)
 export class JobWatch implements Part {
-  private readonly checks = new Map<string, LastRead>()
+  private readonly lastReads = new Map<string, LastRead>()
   private readonly listeners = new Set<(job: string) => void>()
   private cancelTimer = (): void => {}
 
@@ -26,15 +26,15 @@
     @inject(PauseWatch) private readonly pauses: PauseWatch
   ) {
     pauses.subscribe(() => {
-      for (const job of [...this.checks.keys()]) {
-        this.checks.set(job, { unreachable: false })
+      for (const job of [...this.lastReads.keys()]) {
+        this.lastReads.set(job, { unreachable: false })
         void this.check(job)
       }
     })
   }
 
   async start (): Promise<void> {
-    this.cancelTimer = this.clock.every(CHECK_PERIOD, () => { void this.checkAll() })
+    this.cancelTimer = this.clock.every(READ_PERIOD, () => { void this.checkAll() })
   }
 
   async stop (): Promise<void> {
@@ -47,17 +47,17 @@
   }
 
   remove (job: string): void {
-    this.checks.delete(job)
+    this.lastReads.delete(job)
   }
 
-  watches (job: string): boolean {
-    return this.checks.has(job)
+  isWatching (job: string): boolean {
+    return this.lastReads.has(job)
   }
 
   /** Whether items of the job may start now. */
   mayStart (job: string): boolean {
     this.pauses.check()
-    const check = this.checks.get(job)
+    const check = this.lastReads.get(job)
     return check !== undefined && mayStart(check, this.clock.now())
   }
 
@@ -73,14 +73,14 @@
     this.pauses.check()
     if (count !== this.pauses.count) return await this.check(job)
     if (read.err && read.val.type !== 'missing') {
-      this.checks.set(job, { ...this.checks.get(job), unreachable: read.val.type === 'unavailable' })
+      this.lastReads.set(job, { ...this.lastReads.get(job), unreachable: read.val.type === 'unavailable' })
       return undefined
     }
     if (read.ok && read.val.status === 'in_progress') {
-      this.checks.set(job, { seen, unreachable: false })
+      this.lastReads.set(job, { seen, unreachable: false })
       return read.val
     }
-    this.checks.delete(job)
+    this.lastReads.delete(job)
     for (const listener of this.listeners) listener(job)
     return undefined
   }
@@ -88,14 +88,14 @@
   /** Asks for what was cancelled of late, once for all jobs, and looks at those that are named or aren't known. */
   private async checkAll (): Promise<void> {
     this.pauses.check()
-    if (this.checks.size === 0) return
+    if (this.lastReads.size === 0) return
     const seen = this.clock.now()
     const cancelled = await this.cancelled.list()
     this.pauses.check()
-    for (const [job, check] of [...this.checks]) {
-      if (cancelled.err) this.checks.set(job, { ...check, unreachable: cancelled.val.type === 'unavailable' })
+    for (const [job, check] of [...this.lastReads]) {
+      if (cancelled.err) this.lastReads.set(job, { ...check, unreachable: cancelled.val.type === 'unavailable' })
       else if (cancelled.val.full || cancelled.val.jobs.has(job) || check.seen === undefined) void this.check(job)
-      else this.checks.set(job, { seen: Math.max(seen, check.seen), unreachable: false })
+      else this.lastReads.set(job, { seen: Math.max(seen, check.seen), unreachable: false })
     }
   }
 }
--- a/src/batch/order-jobs.ts
+++ b/src/batch/order-jobs.ts
@@ -23,13 +23,13 @@
 export function orderJobs (entries: readonly WorkEntry[], { date, share, used, estimate }: OrderOptions): readonly WorkEntry[] {
   const rated = entries.map(entry => ({
     entry,
-    pressing: entry.due - date - estimate(entry) < SLACK,
+    urgent: entry.due - date - estimate(entry) < SLACK,
     caller: used(entry.caller) / Math.max(share(entry.caller), Number.MIN_VALUE),
     job: used(entry.job)
   }))
   return rated.sort((a, b) => {
-    if (a.pressing !== b.pressing) return a.pressing ? -1 : 1
-    if (a.pressing) return a.entry.due - b.entry.due
+    if (a.urgent !== b.urgent) return a.urgent ? -1 : 1
+    if (a.urgent) return a.entry.due - b.entry.due
     return a.caller - b.caller || a.job - b.job || a.entry.due - b.entry.due
   }).map(({ entry }) => entry)
 }
--- a/src/batch/plain-runner.ts
+++ b/src/batch/plain-runner.ts
@@ -7,8 +7,8 @@
 import { DispatchedItemRunner } from '../ownership/dispatched-item-runner.js'
 import { ChunkSource } from './chunk-source.js'
 
-const WORKERS = 8
-const WANT_PERIOD = 500
+const CONCURRENCY = 8
+const DEMAND_PERIOD = 500
 
 /** Runs the batch items of plain services through the dispatcher, a fixed number at once; models are the owners' to run. */
 @scoped(Lifecycle.ContainerScoped)
@@ -26,9 +26,9 @@
   }
 
   async start (): Promise<void> {
-    this.cancelTimer = this.clock.every(WANT_PERIOD, () => {
+    this.cancelTimer = this.clock.every(DEMAND_PERIOD, () => {
       for (const service of Object.keys(this.configuration.value.services).filter(name => this.isPlain(name))) {
-        this.source.want(service, WORKERS)
+        this.source.want(service, CONCURRENCY)
         this.fill(service)
       }
     })
@@ -43,7 +43,7 @@
   }
 
   private fill (service: string): void {
-    while ((this.running.get(service) ?? 0) < WORKERS) {
+    while ((this.running.get(service) ?? 0) < CONCURRENCY) {
       const work = this.source.take(service)
       if (work === undefined) return
       this.running.set(service, (this.running.get(service) ?? 0) + 1)
--- a/src/batch/plan-retry.ts
+++ b/src/batch/plan-retry.ts
@@ -11,7 +11,7 @@
   | { readonly type: 'again', readonly pause: number, readonly attempts: number }
   | { readonly type: 'finish', readonly result: ItemResult }
 
-interface GivenBack {
+interface ReturnedItem {
   readonly why: Parameters<BatchWork['giveBack']>[0]
   readonly ran: boolean
   readonly idempotent: boolean
@@ -25,7 +25,7 @@
  * aborted, so that neither load nor a restart ever makes an item fail. A non-idempotent item that may have run is
  * over: its fate isn't known, and a second run is what must not happen.
  */
-export function planRetry ({ why, ran, idempotent, attempts, server }: GivenBack): RetryPlan {
+export function planRetry ({ why, ran, idempotent, attempts, server }: ReturnedItem): RetryPlan {
   if (ran && !idempotent) return finish('unknown', `it may have run at ${server}; it is not to be repeated`)
   if (why !== 'server failed') return { type: 'again', pause: 0, attempts }
   const failed = attempts + 1
--- a/src/batch/read-job-request.ts
+++ b/src/batch/read-job-request.ts
@@ -17,8 +17,8 @@
 export function readJobRequest (body: Buffer): Result<JobRequest, readonly string[]> {
   const value = readObject(body)
   if (value === undefined) return Err(['the body must be a JSON object'])
-  const { input_file_id: file, endpoint, completion_window: asked = DEFAULT_WINDOW, metadata } = value
-  const window = WINDOW.exec(String(asked))
+  const { input_file_id: file, endpoint, completion_window: requestedWindow = DEFAULT_WINDOW, metadata } = value
+  const window = WINDOW.exec(String(requestedWindow))
   const findings = [
     typeof file === 'string' ? '' : 'input_file_id: must be the id of a file',
     typeof endpoint === 'string' ? '' : 'endpoint: must be a path',
--- a/src/batch/read-upload.ts
+++ b/src/batch/read-upload.ts
@@ -11,14 +11,14 @@
     return typeof found === 'string' ? found : undefined
   })
   if (read.err) return read
-  const sorted = new Map<string, Item[]>()
+  const byService = new Map<string, Item[]>()
   for (const item of read.val) {
     const target = findService(item, services)
     if (typeof target === 'string') continue
     const idempotent = target.service.idempotent && item.idempotent !== false
-    const items = sorted.get(target.name) ?? []
-    sorted.set(target.name, items)
+    const items = byService.get(target.name) ?? []
+    byService.set(target.name, items)
     items.push({ ...item, idempotent })
   }
-  return Ok(sorted)
+  return Ok(byService)
 }
--- a/src/batch/recent-usage.ts
+++ b/src/batch/recent-usage.ts
@@ -14,7 +14,7 @@
   }
 
   /** Forgets what has decayed to nothing. */
-  drop (now: number): void {
+  prune (now: number): void {
     for (const name of this.counts.keys()) if (this.get(name, now) < 1) this.counts.delete(name)
   }
 }
--- a/src/batch/record-entries.ts
+++ b/src/batch/record-entries.ts
@@ -18,12 +18,12 @@
 }
 
 function recordEntry (chunk: Chunk, entry: ChunkEntry, by: Incarnation): Chunk {
-  const mine = isHolder(chunk, by)
+  const byHolder = isHolder(chunk, by)
   switch (entry.type) {
     case 'result': return listRecorded(chunk).has(entry.item) ? chunk : { ...chunk, results: { ...chunk.results, [entry.item]: entry.result } }
-    case 'started': return mine && !chunk.started.includes(entry.item) ? { ...chunk, started: [...chunk.started, entry.item] } : chunk
-    case 'not started': return mine ? { ...chunk, started: chunk.started.filter(item => item !== entry.item) } : chunk
-    case 'released': return mine ? { ...chunk, holder: undefined } : chunk
+    case 'started': return byHolder && !chunk.started.includes(entry.item) ? { ...chunk, started: [...chunk.started, entry.item] } : chunk
+    case 'not started': return byHolder ? { ...chunk, started: chunk.started.filter(item => item !== entry.item) } : chunk
+    case 'released': return byHolder ? { ...chunk, holder: undefined } : chunk
     default: return failUnreachable(entry)
   }
 }
--- a/src/batch/result-spool.ts
+++ b/src/batch/result-spool.ts
@@ -20,7 +20,7 @@
 
 const PERIOD = 2_000
 /** Results are written to the platform within 5 s; what waits for longer waits because it doesn't answer. */
-const MIN_WAIT = 8_000
+const SPOOL_DELAY = 8_000
 const FILE = 'batch-results.spool'
 
 /**
@@ -31,7 +31,7 @@
 @scoped(Lifecycle.ContainerScoped)
 export class ResultSpool implements Part {
   private readonly file: string | undefined
-  private readonly seen = new Map<string, number>()
+  private readonly firstSeen = new Map<string, number>()
   private readonly spooled = new Set<string>()
   private cancelTimer = (): void => {}
 
@@ -69,7 +69,7 @@
 
   private async record ({ chunk: name, items, item, result }: SpoolEntry): Promise<boolean> {
     const written = await updateObject<Chunk>(this.store, 'chunk', name, {
-      change: chunk => recordEntries(chunk, [{ type: 'result', item, result }], { items, by: this.holding.by })
+      change: chunk => recordEntries(chunk, [{ type: 'result', item, result }], { items, by: this.holding.incarnation })
     })
     return written.ok || written.val.type === 'missing'
   }
@@ -78,11 +78,11 @@
     const now = this.clock.now()
     const waiting = this.source.listUnsaved()
     const names = new Set(waiting.map(formatName))
-    for (const name of this.seen.keys()) if (!names.has(name)) this.seen.delete(name)
+    for (const name of this.firstSeen.keys()) if (!names.has(name)) this.firstSeen.delete(name)
     for (const entry of waiting) {
       const name = formatName(entry)
-      if (!this.seen.has(name)) this.seen.set(name, now)
-      if (this.spooled.has(name) || now - this.seen.get(name)! < MIN_WAIT) continue
+      if (!this.firstSeen.has(name)) this.firstSeen.set(name, now)
+      if (this.spooled.has(name) || now - this.firstSeen.get(name)! < SPOOL_DELAY) continue
       appendFileSync(this.file!, encodeSpoolLine(entry))
       this.spooled.add(name)
     }
--- a/src/batch/show-job.ts
+++ b/src/batch/show-job.ts
@@ -10,7 +10,7 @@
  */
 export function showJob (job: Job, date: number): unknown {
   const counts = addCounts(Object.values(job.finished))
-  const rest = estimateRemainingTime(job, date)
+  const remainingTime = estimateRemainingTime(job, date)
   const running = job.status === 'in_progress'
   return {
     id: job.id,
@@ -22,19 +22,19 @@
     status: job.status,
     output_file_id: job.ended === undefined ? null : `${job.id}.output`,
     error_file_id: job.ended === undefined ? null : `${job.id}.errors`,
-    created_at: readSeconds(job.created),
-    in_progress_at: readSeconds(job.created),
-    expires_at: readSeconds(job.due),
-    cancelling_at: readSeconds(job.cancelled),
-    completed_at: job.status === 'completed' ? readSeconds(job.ended) : null,
-    cancelled_at: job.status === 'cancelled' ? readSeconds(job.ended) : null,
+    created_at: formatSeconds(job.created),
+    in_progress_at: formatSeconds(job.created),
+    expires_at: formatSeconds(job.due),
+    cancelling_at: formatSeconds(job.cancelled),
+    completed_at: job.status === 'completed' ? formatSeconds(job.ended) : null,
+    cancelled_at: job.status === 'cancelled' ? formatSeconds(job.ended) : null,
     request_counts: { total: job.items, ...counts },
-    estimated_completion_at: running && rest > 0 ? readSeconds(date + rest) : null,
-    late: running && Math.max(date, date + rest) > job.due,
+    estimated_completion_at: running && remainingTime > 0 ? formatSeconds(date + remainingTime) : null,
+    late: running && Math.max(date, date + remainingTime) > job.due,
     metadata: job.metadata ?? null
   }
 }
 
-function readSeconds (time: number | undefined): number | null {
+function formatSeconds (time: number | undefined): number | null {
   return time === undefined ? null : Math.floor(time / MS_PER_SECOND)
 }
--- a/src/batch/upload-budget.ts
+++ b/src/batch/upload-budget.ts
@@ -9,7 +9,7 @@
   constructor (private readonly limit: number) {}
 
   /** Reserves room; the function it gives back frees it. Undefined when there is none. */
-  take (bytes: number): (() => void) | undefined {
+  reserve (bytes: number): (() => void) | undefined {
     if (this.used > 0 && this.used + bytes > this.limit) return undefined
     this.used += bytes
     return () => { this.used -= bytes }
--- a/src/batch/work-finder.ts
+++ b/src/batch/work-finder.ts
@@ -31,8 +31,8 @@
 @scoped(Lifecycle.ContainerScoped)
 export class WorkFinder {
   private readonly busy = new Map<string, number>()
-  private readonly rest = new Map<string, number>()
-  private readonly use = new RecentUsage()
+  private readonly remainingTimes = new Map<string, number>()
+  private readonly usage = new RecentUsage()
 
   constructor (
     @inject(WorkIndex) private readonly work: WorkIndex,
@@ -43,34 +43,34 @@
   ) {}
 
   /** Counts an item that was taken, for its caller and its job. */
-  countUse (caller: string, job: string): void {
-    this.use.add(caller, 1, this.clock.now())
-    this.use.add(job, 1, this.clock.now())
+  countUsage (caller: string, job: string): void {
+    this.usage.add(caller, 1, this.clock.now())
+    this.usage.add(job, 1, this.clock.now())
   }
 
   /** Leaves a job or chunk alone for a while. */
-  putAside (name: string): void {
+  markBusy (name: string): void {
     this.busy.set(name, this.clock.now() + BUSY_PAUSE)
   }
 
   /** Tries again what was put aside: there is news of free chunks. */
-  forgetBusy (): void {
+  clearBusy (): void {
     this.busy.clear()
-    this.rest.clear()
+    this.remainingTimes.clear()
   }
 
   async * find (service: string, held: HeldChunks): AsyncGenerator<Candidate> {
-    this.dropOld()
+    this.pruneExpired()
     const entries = await this.work.list(service)
     if (entries.err) return
     const open = this.orderEntries(entries.val.filter(entry => entry.service === service && !this.busy.has(entry.job)))
     for (const { job: id } of open.slice(0, MAX_JOBS)) {
       const job = await this.jobs.check(id)
       if (job === undefined) continue
-      this.rest.set(id, estimateRemainingTime(job, this.clock.date()))
+      this.remainingTimes.set(id, estimateRemainingTime(job, this.clock.date()))
       for (const place of this.choosePlaces(job, service, held)) yield { job, place }
-      this.putAside(id)
-      if (held.ofJob(id).length === 0) this.jobs.remove(id)
+      this.markBusy(id)
+      if (held.listByJob(id).length === 0) this.jobs.remove(id)
     }
   }
 
@@ -79,8 +79,8 @@
     return orderJobs(entries, {
       date: this.clock.date(),
       share: caller => this.configuration.value.callers[caller]?.share ?? 1,
-      used: name => this.use.get(name, now),
-      estimate: ({ job }) => this.rest.get(job) ?? 0
+      used: name => this.usage.get(name, now),
+      estimate: ({ job }) => this.remainingTimes.get(job) ?? 0
     })
   }
 
@@ -90,18 +90,18 @@
       const name = `${job.id}.${place.n}`
       return place.service === service && job.finished[place.n] === undefined && !held.has(name) && !this.busy.has(name)
     })
-    const first = rankOwners(this.holding.by.instance, open.map(({ n }) => String(n)))[0]
+    const first = rankOwners(this.holding.incarnation.instance, open.map(({ n }) => String(n)))[0]
     const start = open.findIndex(({ n }) => String(n) === first)
     return [...open.slice(start), ...open.slice(0, Math.max(0, start))].slice(0, MAX_PROBES)
   }
 
-  private dropOld (): void {
+  private pruneExpired (): void {
     const now = this.clock.now()
-    this.use.drop(now)
+    this.usage.prune(now)
     for (const [name, until] of this.busy) {
       if (until > now) continue
       this.busy.delete(name)
-      this.rest.delete(name)
+      this.remainingTimes.delete(name)
     }
   }
 }
--- a/test/batch/cancel-fleet.test.ts
+++ b/test/batch/cancel-fleet.test.ts
@@ -1,6 +1,6 @@
 import 'reflect-metadata'
 import test from 'ava'
-import { checkStopped, startJob } from './helpers/cancel-trial.js'
+import { checkStopped, startJob } from './helpers/running-job.js'
 import { createClient } from './helpers/process-fleet.js'
 
 // What the caller sees: its cancelling acknowledged by a daemon that holds none of the job's chunks. All daemons hear of it.
--- a/test/batch/cancel-frozen.test.ts
+++ b/test/batch/cancel-frozen.test.ts
@@ -1,6 +1,6 @@
 import 'reflect-metadata'
 import test from 'ava'
-import { BOUND, checkStopped, startJob } from './helpers/cancel-trial.js'
+import { BOUND, checkStopped, startJob } from './helpers/running-job.js'
 import { createClient } from './helpers/process-fleet.js'
 
 // What the caller sees: the same, while a holder is frozen. It hears of nothing, and goes on after the acknowledgement with
--- a/test/batch/cancel.test.ts
+++ b/test/batch/cancel.test.ts
@@ -4,10 +4,10 @@
 import assert from 'node:assert/strict'
 import { addCounts } from '../../src/batch/add-counts.js'
 import { mayStart } from '../../src/coordination/may-start.js'
-import { createTrialJob } from './helpers/create-trial-job.js'
+import { createTestJob } from './helpers/create-test-job.js'
 import { readLines } from './helpers/read-lines.js'
-import { Trial } from './helpers/trial.js'
-import { trialEvents } from './helpers/trial-events.js'
+import { Simulation } from './helpers/simulation.js'
+import { faultEvents } from './helpers/fault-events.js'
 
 const SEED = 20261203
 const RUNS = 40
@@ -21,29 +21,29 @@
 // and replies to writes are lost, before, at and after the cancelling. A holder that can't look at the job goes on
 // for a time that is bounded too. Old reads of a job would stretch the bound and are left out.
 test('a cancelled job stops, and its counts add up, under random faults', async t => {
-  await fc.assert(fc.asyncProperty(trialEvents, fc.integer({ min: 1, max: 70 }), async (events, when) => {
-    const trial = await new Trial({ runTime: 2_500 }).start(4)
-    const { jobs } = trial.daemons[3]!
-    const job = await createTrialJob(trial.daemons[3]!, { count: ITEMS, idempotent: i => i % 5 !== 0 })
+  await fc.assert(fc.asyncProperty(faultEvents, fc.integer({ min: 1, max: 70 }), async (events, when) => {
+    const simulation = await new Simulation({ runTime: 2_500 }).start(4)
+    const { jobs } = simulation.daemons[3]!
+    const job = await createTestJob(simulation.daemons[3]!, { count: ITEMS, idempotent: i => i % 5 !== 0 })
     let acknowledged = Infinity
     const cut = events.some(({ type }) => type === 'cut')
     let bound = cut ? OUTAGE_BOUND : BOUND
-    while (trial.second < SECONDS) {
-      if (trial.second >= when && acknowledged === Infinity) {
+    while (simulation.second < SECONDS) {
+      if (simulation.second >= when && acknowledged === Infinity) {
         const cancelled = await jobs.cancel(job.id, 'kitchen')
-        if (cancelled.ok) acknowledged = trial.clock.now()
-        if (cancelled.ok && cancelled.val.status === 'cancelling') trial.daemons[3]!.care.announceCancel(job.id)
+        if (cancelled.ok) acknowledged = simulation.clock.now()
+        if (cancelled.ok && cancelled.val.status === 'cancelling') simulation.daemons[3]!.supervisor.announceCancel(job.id)
       }
-      await trial.step(events.filter(({ type }) => type !== 'old reads'))
-      if (trial.second < trial.faults.outageUntil && trial.clock.now() - acknowledged < BOUND + 1_000) bound = OUTAGE_BOUND
+      await simulation.step(events.filter(({ type }) => type !== 'old reads'))
+      if (simulation.second < simulation.faults.outageUntil && simulation.clock.now() - acknowledged < BOUND + 1_000) bound = OUTAGE_BOUND
     }
-    const late = trial.runs.filter(({ at }) => at > acknowledged + bound)
+    const late = simulation.runs.filter(({ at }) => at > acknowledged + bound)
     assert.deepEqual(late, [])
     const ended = (await jobs.read(job.id)).unwrap()
     const { completed, failed, cancelled } = addCounts(Object.values(ended.finished))
     assert.equal(ended.status, 'cancelled')
     assert.equal(completed + failed + cancelled, ITEMS)
-    const lines = [...(await readLines(trial.daemons[3]!, job)).values()].map(line => JSON.parse(line))
+    const lines = [...(await readLines(simulation.daemons[3]!, job)).values()].map(line => JSON.parse(line))
     assert.equal(lines.length, ITEMS)
     assert.equal(lines.filter(({ error }) => error?.code === 'cancelled').length, cancelled)
   }), { seed: SEED, numRuns: RUNS, endOnFailure: true })
@@ -54,29 +54,29 @@
 // platform and so can't know. The holder can't tell this from an outage, goes on for 60 s, and then starts nothing
 // more: without that limit it goes on until its chunk is done.
 test('a holder cut off from the platform stops within the stated bound', async t => {
-  const trial = await new Trial({ runTime: 2_500 }).start(2)
-  const job = await createTrialJob(trial.daemons[1]!, { count: 200 })
-  await trial.run(3)
-  const holder = trial.daemons.findIndex(({ name }) => name === trial.runs[0]!.daemon)
-  await trial.step([{ type: 'cut', daemon: holder, at: trial.second, length: 150 }])
-  const cancelled = await trial.daemons[1 - holder]!.jobs.cancel(job.id, 'kitchen')
+  const simulation = await new Simulation({ runTime: 2_500 }).start(2)
+  const job = await createTestJob(simulation.daemons[1]!, { count: 200 })
+  await simulation.run(3)
+  const holder = simulation.daemons.findIndex(({ name }) => name === simulation.runs[0]!.daemon)
+  await simulation.step([{ type: 'cut', daemon: holder, at: simulation.second, length: 150 }])
+  const cancelled = await simulation.daemons[1 - holder]!.jobs.cancel(job.id, 'kitchen')
   t.true(cancelled.ok)
-  const acknowledged = trial.clock.now()
-  await trial.run(200)
-  t.true(trial.runs.some(({ at }) => at > acknowledged + BOUND))
-  t.deepEqual(trial.runs.filter(({ at }) => at > acknowledged + OUTAGE_BOUND), [])
-  t.is((await trial.daemons[holder]!.jobs.read(job.id)).unwrap().status, 'cancelled')
+  const acknowledged = simulation.clock.now()
+  await simulation.run(200)
+  t.true(simulation.runs.some(({ at }) => at > acknowledged + BOUND))
+  t.deepEqual(simulation.runs.filter(({ at }) => at > acknowledged + OUTAGE_BOUND), [])
+  t.is((await simulation.daemons[holder]!.jobs.read(job.id)).unwrap().status, 'cancelled')
 })
 
 // What the caller sees: a refusal. In an outage of the platform a cancelling can't be made durable, so it is not
 // acknowledged, and the job goes on.
 test('a cancelling in an outage is refused', async t => {
-  const trial = await new Trial().start(1)
-  const job = await createTrialJob(trial.daemons[0]!, { count: 20 })
-  trial.faults.outageUntil = 10
-  t.true((await trial.daemons[0]!.jobs.cancel(job.id, 'kitchen')).err)
-  await trial.run(40)
-  t.is((await trial.daemons[0]!.jobs.read(job.id)).unwrap().status, 'completed')
+  const simulation = await new Simulation().start(1)
+  const job = await createTestJob(simulation.daemons[0]!, { count: 20 })
+  simulation.faults.outageUntil = 10
+  t.true((await simulation.daemons[0]!.jobs.cancel(job.id, 'kitchen')).err)
+  await simulation.run(40)
+  t.is((await simulation.daemons[0]!.jobs.read(job.id)).unwrap().status, 'completed')
 })
 
 test('a start needs a look at the job that is fresh, or an outage that is short', t => {
--- a/test/batch/claims.test.ts
+++ b/test/batch/claims.test.ts
@@ -3,10 +3,10 @@
 import fc from 'fast-check'
 import assert from 'node:assert/strict'
 import { addCounts } from '../../src/batch/add-counts.js'
-import { createTrialJob } from './helpers/create-trial-job.js'
+import { createTestJob } from './helpers/create-test-job.js'
 import { readLines } from './helpers/read-lines.js'
-import { Trial } from './helpers/trial.js'
-import { trialEvents } from './helpers/trial-events.js'
+import { Simulation } from './helpers/simulation.js'
+import { faultEvents } from './helpers/fault-events.js'
 
 const SEED = 20261202
 const RUNS = 40
@@ -18,14 +18,14 @@
 // replies to writes and gives old reads; all in random order. Whatever a holder believes, the version of the chunk
 // decides, so each item ends with one result that never changes, and no non-idempotent item runs twice.
 test('one result an item, the same on every later read, under random faults', async t => {
-  await fc.assert(fc.asyncProperty(trialEvents, async events => {
-    const trial = await new Trial().start(4)
-    const reader = trial.daemons[3]!
-    const job = await createTrialJob(reader, { count: ITEMS, idempotent: i => i % 7 !== 0 })
+  await fc.assert(fc.asyncProperty(faultEvents, async events => {
+    const simulation = await new Simulation().start(4)
+    const reader = simulation.daemons[3]!
+    const job = await createTestJob(reader, { count: ITEMS, idempotent: i => i % 7 !== 0 })
     const seen = new Map<string, string>()
-    while (trial.second < SECONDS) {
-      await trial.step(events)
-      if (trial.second % 20 !== 0 || trial.second < trial.faults.outageUntil) continue
+    while (simulation.second < SECONDS) {
+      await simulation.step(events)
+      if (simulation.second % 20 !== 0 || simulation.second < simulation.faults.outageUntil) continue
       for (const [id, line] of await readLines(reader, job)) {
         assert.equal(seen.get(id) ?? line, line)
         seen.set(id, line)
@@ -37,7 +37,7 @@
     assert.equal(ended.status, 'completed')
     assert.deepEqual([completed + failed, cancelled, lines.size], [ITEMS, 0, ITEMS])
     for (const [id, line] of lines) assert.equal(seen.get(id) ?? line, line)
-    const once = trial.runs.map(({ item }) => item).filter(item => Number(item.slice('item-'.length)) % 7 === 0)
+    const once = simulation.runs.map(({ item }) => item).filter(item => Number(item.slice('item-'.length)) % 7 === 0)
     assert.equal(new Set(once).size, once.length)
   }), { seed: SEED, numRuns: RUNS, endOnFailure: true })
   t.pass()
@@ -47,47 +47,47 @@
 // job at the same time, with replies to writes lost: ids follow from caller, content and key, so all of them meet in
 // the same objects, and exactly one of them counts it as accepted.
 test('a job sent again, also at the same time through another daemon, is the same job', async t => {
-  const trial = await new Trial().start(4)
-  trial.faults.lostUntil = 5
-  const sent = await Promise.all(trial.daemons.map(async daemon => await createTrialJob(daemon, { count: 450 })))
+  const simulation = await new Simulation().start(4)
+  simulation.faults.lostUntil = 5
+  const sent = await Promise.all(simulation.daemons.map(async daemon => await createTestJob(daemon, { count: 450 })))
   t.is(new Set(sent.map(({ id }) => id)).size, 1)
   t.is(new Set(sent.map(({ acceptance }) => acceptance)).size, 1)
-  await trial.run(90)
-  t.is(trial.runs.length, 450)
-  t.is((await readLines(trial.daemons[0]!, sent[0]!)).size, 450)
+  await simulation.run(90)
+  t.is(simulation.runs.length, 450)
+  t.is((await readLines(simulation.daemons[0]!, sent[0]!)).size, 450)
 })
 
 // What the caller sees: the results, as after any other night. Each daemon in turn ends gracefully and is replaced
 // while items run; it lets what runs end and lets go of its chunks, so no item runs a second time.
 test('every daemon replaced one by one: nothing runs twice', async t => {
-  const trial = await new Trial().start(3)
-  const job = await createTrialJob(trial.daemons[0]!, { count: 600, idempotent: i => i % 2 === 0 })
+  const simulation = await new Simulation().start(3)
+  const job = await createTestJob(simulation.daemons[0]!, { count: 600, idempotent: i => i % 2 === 0 })
   for (const n of [0, 1, 2]) {
-    await trial.run(6)
-    const drained = trial.daemons[n]!.source.drain()
-    await trial.run(4)
+    await simulation.run(6)
+    const drained = simulation.daemons[n]!.source.drain()
+    await simulation.run(4)
     await drained
-    await trial.step([{ type: 'replace', daemon: n, at: trial.second }])
+    await simulation.step([{ type: 'replace', daemon: n, at: simulation.second }])
   }
-  await trial.run(90)
-  const lines = await readLines(trial.daemons[0]!, job)
+  await simulation.run(90)
+  const lines = await readLines(simulation.daemons[0]!, job)
   t.is(lines.size, 600)
   t.true([...lines.values()].every(line => JSON.parse(line).error === null))
-  t.is(new Set(trial.runs.map(({ item }) => item)).size, trial.runs.length)
+  t.is(new Set(simulation.runs.map(({ item }) => item)).size, simulation.runs.length)
 })
 
 // What the caller sees: its job goes on within seconds. A daemon dies with chunks claimed, long before its lease
 // ends; once it is gone from the list of instances its successor by hashing frees its chunks from one read.
 test('what a dead daemon held is taken over before its lease ends', async t => {
-  const trial = await new Trial().start(2)
-  const job = await createTrialJob(trial.daemons[1]!, { count: 150 })
-  const holder = async (): Promise<string> => (await trial.store.get<any>('chunk', `${job.id}.0`)).unwrap().value.holder?.instance
-  await trial.run(3)
+  const simulation = await new Simulation().start(2)
+  const job = await createTestJob(simulation.daemons[1]!, { count: 150 })
+  const holder = async (): Promise<string> => (await simulation.store.get<any>('chunk', `${job.id}.0`)).unwrap().value.holder?.instance
+  await simulation.run(3)
   const dead = Number((await holder()).slice('entry-'.length))
-  trial.kill(dead)
-  const killed = trial.second
-  const results = async (): Promise<number> => (await readLines(trial.daemons[1 - dead]!, job)).size
-  while (await results() < 150 && trial.second < 100) await trial.step()
+  simulation.kill(dead)
+  const killed = simulation.second
+  const results = async (): Promise<number> => (await readLines(simulation.daemons[1 - dead]!, job)).size
+  while (await results() < 150 && simulation.second < 100) await simulation.step()
   t.is(await results(), 150)
-  t.true(trial.runs.some(({ daemon, at }) => daemon !== `entry-${dead}` && at < (killed + 15) * 1_000))
+  t.true(simulation.runs.some(({ daemon, at }) => daemon !== `entry-${dead}` && at < (killed + 15) * 1_000))
 })
--- a/test/batch/frozen-start.test.ts
+++ b/test/batch/frozen-start.test.ts
@@ -8,33 +8,33 @@
 import { Servers } from '../../src/routing/servers.js'
 import { DispatchBench } from '../helpers/dispatch-bench.js'
 import { RawServer } from '../helpers/raw-server.js'
-import { createTrialJob } from './helpers/create-trial-job.js'
-import { Trial } from './helpers/trial.js'
+import { createTestJob } from './helpers/create-test-job.js'
+import { Simulation } from './helpers/simulation.js'
 
 const BODY = '{"text":"whole"}'
 const FROZEN = 6_000
 
-interface Bench { readonly trial: Trial, readonly bench: DispatchBench, readonly server: RawServer, readonly take: () => BatchWork }
+interface Bench { readonly simulation: Simulation, readonly bench: DispatchBench, readonly server: RawServer, readonly take: () => BatchWork }
 
 /** A holder on virtual time whose items go over real connections. */
 async function start (t: ExecutionContext): Promise<Bench> {
-  const trial = await new Trial({ slots: 1 }).start(1)
-  await createTrialJob(trial.daemons[0]!, { count: 20 })
-  await trial.run(3)
+  const simulation = await new Simulation({ slots: 1 }).start(1)
+  await createTestJob(simulation.daemons[0]!, { count: 20 })
+  await simulation.run(3)
   const server = await RawServer.start(socket => { socket.write(`HTTP/1.1 200 OK\r\ncontent-type: application/json\r\ncontent-length: ${BODY.length}\r\n\r\n${BODY}`) })
   const bench = new DispatchBench({ ports: [server.port] })
   t.teardown(async () => {
     await bench.stop()
     server.close()
   })
-  return { trial, bench, server, take: () => trial.daemons[0]!.source.take('drafts')! }
+  return { simulation, bench, server, take: () => simulation.daemons[0]!.source.take('drafts')! }
 }
 
 // What the caller sees: an item of its cancelled job that begins after the bound. Its holder takes the item and asks for a
 // connection, is frozen, and the kernel connects meanwhile. At the thaw the connection is there, and the request was
 // written to it before anybody had looked at the job again. The clock jumps as it does for a frozen process.
 test('an item that waits for its connection while the holder is frozen is not sent after that', async t => {
-  const { trial, bench, server, take } = await start(t)
+  const { simulation, bench, server, take } = await start(t)
   const run = (): BatchRun => new BatchRun({
     work: take(),
     server: bench.container.resolve(Servers).find('server-0')!,
@@ -45,10 +45,10 @@
     onTokens: () => {}
   })
   const frozen = run().run()
-  trial.clock.freeze(FROZEN)
+  simulation.clock.freeze(FROZEN)
   t.deepEqual(await frozen, { type: 'withheld' })
   t.is(server.requests.length, 0)
-  await trial.run(1)
+  await simulation.run(1)
   t.is((await run().run()).type, 'finished')
   t.is(server.requests.length, 1)
   t.is(bench.container.resolve(Servers).find('server-0')!.limit, Infinity)
@@ -56,15 +56,15 @@
 
 // The same for an item that goes by the dispatcher: one of a plain service, one that isn't to be repeated, or a suspect.
 test('nor is one that the dispatcher runs', async t => {
-  const { trial, bench, server, take } = await start(t)
+  const { simulation, bench, server, take } = await start(t)
   const configuration = bench.container.resolve(ConfigurationHolder)
   configuration.offer({ ...configuration.value, version: 2, services: { drafts: { kind: 'model', pool: 'pool', model: 'model', idempotent: true } } })
   const run = async (): Promise<void> => await bench.container.resolve(DispatchedItemRunner).run(take())
   const frozen = run()
-  trial.clock.freeze(FROZEN)
+  simulation.clock.freeze(FROZEN)
   await frozen
   t.is(server.requests.length, 0)
-  await trial.run(1)
+  await simulation.run(1)
   await run()
   t.is(server.requests.length, 1)
 })
--- a/test/batch/hand-over.test.ts
+++ b/test/batch/hand-over.test.ts
@@ -1,22 +1,22 @@
 import 'reflect-metadata'
 import test from 'ava'
-import { createTrialJob } from './helpers/create-trial-job.js'
-import { Trial } from './helpers/trial.js'
+import { createTestJob } from './helpers/create-test-job.js'
+import { Simulation } from './helpers/simulation.js'
 
 const STEP = 100
 const RUN_TIME = 200
 
 async function measureHandOver (daemons: number, drainAt: number, call: number): Promise<number> {
-  const trial = await new Trial({ runTime: RUN_TIME, links: true }).start(daemons)
-  await createTrialJob(trial.daemons[0]!, { count: 200 })
-  for (const { store } of trial.daemons) store.delay = call
-  while (trial.runs.length === 0) await trial.clock.advance(STEP)
-  await trial.clock.advance(drainAt)
-  const holder = trial.daemons.find(({ name }) => name === trial.runs.at(-1)!.daemon)!
+  const simulation = await new Simulation({ runTime: RUN_TIME, links: true }).start(daemons)
+  await createTestJob(simulation.daemons[0]!, { count: 200 })
+  for (const { store } of simulation.daemons) store.delay = call
+  while (simulation.runs.length === 0) await simulation.clock.advance(STEP)
+  await simulation.clock.advance(drainAt)
+  const holder = simulation.daemons.find(({ name }) => name === simulation.runs.at(-1)!.daemon)!
   void holder.source.drain()
-  const told = trial.clock.now()
-  while (trial.runs.every(({ daemon }) => daemon === holder.name) && trial.clock.now() < told + 70_000) await trial.clock.advance(STEP)
-  return trial.clock.now() - told
+  const drainStarted = simulation.clock.now()
+  while (simulation.runs.every(({ daemon }) => daemon === holder.name) && simulation.clock.now() < drainStarted + 70_000) await simulation.clock.advance(STEP)
+  return simulation.clock.now() - drainStarted
 }
 
 // What the caller sees: a job that stands still while a daemon is replaced, though others have nothing to do. They have
--- a/test/batch/helpers/create-trial-job.ts
+++ b/test/batch/helpers/create-test-job.ts
@@ -1,11 +1,11 @@
 import type { Item } from '../../../src/batch/item.js'
 import type { Job } from '../../../src/batch/job.js'
-import type { TrialDaemon } from './trial-daemon.js'
+import type { SimulatedDaemon } from './simulated-daemon.js'
 
 const HOUR = 3_600_000
 
 /** Uploads `count` items as one file and submits a job for it under `key`. */
-export async function createTrialJob (daemon: TrialDaemon, { count, key = 'menu', idempotent = () => true }: {
+export async function createTestJob (daemon: SimulatedDaemon, { count, key = 'menu', idempotent = () => true }: {
   readonly count: number
   readonly key?: string
   readonly idempotent?: (item: number) => boolean
--- a/test/batch/helpers/trial-store.ts
+++ b/test/batch/helpers/faulty-store.ts
@@ -4,10 +4,10 @@
 import type { StoreError } from '../../../src/store/store-error.js'
 import type { StoredObject } from '../../../src/store/stored-object.js'
 import type { WatchBatch } from '../../../src/store/watch-batch.js'
-import type { TrialClock } from './trial-clock.js'
+import type { FreezableClock } from './freezable-clock.js'
 
 /** One daemon's way to the shared store: nothing goes out or comes in while it is frozen; some reads are old. */
-export class TrialStore implements ObjectStore {
+export class FaultyStore implements ObjectStore {
   private readonly earlier = new Map<string, StoredObject<any>>()
   private reads = 0
   /** Every how many reads one gives the version before; 0 for never. */
@@ -17,7 +17,7 @@
   /** Time that each call takes, ms. */
   delay = 0
 
-  constructor (private readonly shared: MemoryStore, private readonly clock: TrialClock) {}
+  constructor (private readonly shared: MemoryStore, private readonly clock: FreezableClock) {}
 
   async get<T> (kind: string, name: string): Promise<Result<StoredObject<T>, StoreError>> {
     const key = `${kind}/${name}`
--- a/test/batch/helpers/trial-clock.ts
+++ b/test/batch/helpers/freezable-clock.ts
@@ -1,7 +1,7 @@
 import type { Clock } from '../../../src/kernel/clock.js'
 
 /** The clock of one daemon in a trial: while it is frozen nothing of the daemon runs; what fell due runs at the thaw. */
-export class TrialClock implements Clock {
+export class FreezableClock implements Clock {
   private thaw?: () => void
   private thawed: Promise<void> = Promise.resolve()
 
--- a/test/batch/helpers/read-lines.ts
+++ b/test/batch/helpers/read-lines.ts
@@ -1,8 +1,8 @@
 import type { Job } from '../../../src/batch/job.js'
-import type { TrialDaemon } from './trial-daemon.js'
+import type { SimulatedDaemon } from './simulated-daemon.js'
 
 /** The recorded results of a job: the line of each item, by its custom id. */
-export async function readLines (daemon: TrialDaemon, job: Job): Promise<ReadonlyMap<string, string>> {
+export async function readLines (daemon: SimulatedDaemon, job: Job): Promise<ReadonlyMap<string, string>> {
   const lines = new Map<string, string>()
   for (const which of ['output', 'errors'] as const) {
     for await (const text of daemon.results.read(job, which)) {
--- a/test/batch/helpers/trial-daemon.ts
+++ b/test/batch/helpers/simulated-daemon.ts
@@ -4,18 +4,18 @@
 import { CallerIndex } from '../../../src/batch/caller-index.js'
 import { ChunkClaims } from '../../../src/batch/chunk-claims.js'
 import { ChunkSource } from '../../../src/batch/chunk-source.js'
-import { Cleaner } from '../../../src/batch/cleaner.js'
+import { ExpiryCleaner } from '../../../src/batch/expiry-cleaner.js'
 import { ExpiryIndex } from '../../../src/batch/expiry-index.js'
 import { FileStore } from '../../../src/batch/file-store.js'
 import { HoldingRecord } from '../../../src/batch/holding-record.js'
 import type { ItemResult } from '../../../src/batch/item-result.js'
-import { JobCare } from '../../../src/batch/job-care.js'
+import { JobSupervisor } from '../../../src/batch/job-supervisor.js'
 import { JobCounter } from '../../../src/batch/job-counter.js'
-import { JobEnds } from '../../../src/batch/job-ends.js'
-import { JobSettler } from '../../../src/batch/job-settler.js'
+import { JobOutcomes } from '../../../src/batch/job-outcomes.js'
+import { JobFinalizer } from '../../../src/batch/job-finalizer.js'
 import { JobStore } from '../../../src/batch/job-store.js'
 import { JobWatch } from '../../../src/batch/job-watch.js'
-import { Recovery } from '../../../src/batch/recovery.js'
+import { ClaimRecovery } from '../../../src/batch/claim-recovery.js'
 import { ResultReader } from '../../../src/batch/result-reader.js'
 import { ResultSpool } from '../../../src/batch/result-spool.js'
 import { WorkFinder } from '../../../src/batch/work-finder.js'
@@ -29,15 +29,15 @@
 import type { PeerMessage } from '../../../src/peers/peer-message.js'
 import type { MemoryStore } from '../../../stand-ins/platform/memory-store.js'
 import type { VirtualClock } from '../../helpers/virtual-clock.js'
-import { TrialClock } from './trial-clock.js'
-import { TrialStore } from './trial-store.js'
+import { FreezableClock } from './freezable-clock.js'
+import { FaultyStore } from './faulty-store.js'
 
 const SERVICE = 'drafts'
 
 /** One run of an item, as a backend server would log it. */
 interface Run { readonly item: string, readonly daemon: string, readonly at: number }
 
-interface TrialOptions {
+interface SimulatedDaemonOptions {
   readonly store: MemoryStore
   readonly clock: VirtualClock
   readonly runs: Run[]
@@ -57,28 +57,28 @@
 }
 
 /** The batch part of one daemon over a shared store, with a runner of items in the place of the servers. */
-export class TrialDaemon {
-  readonly clock: TrialClock
-  readonly store: TrialStore
+export class SimulatedDaemon {
+  readonly clock: FreezableClock
+  readonly store: FaultyStore
   readonly account = new Account()
   readonly files: FileStore
   readonly jobs: JobStore
   readonly source: ChunkSource
   readonly watch: JobWatch
-  readonly settler: JobSettler
+  readonly finalizer: JobFinalizer
   readonly results: ResultReader
-  readonly care: JobCare
+  readonly supervisor: JobSupervisor
   private readonly spool: ResultSpool
-  private readonly cleaner: Cleaner
+  private readonly cleaner: ExpiryCleaner
   private readonly pauses: PauseWatch
   private readonly holding: HoldingRecord
   private readonly slots: number
   private running = 0
 
-  constructor (readonly name: string, private readonly options: TrialOptions) {
+  constructor (readonly name: string, private readonly options: SimulatedDaemonOptions) {
     this.slots = options.slots ?? 4
-    this.clock = new TrialClock(options.clock, options.shift)
-    this.store = new TrialStore(options.store, this.clock)
+    this.clock = new FreezableClock(options.clock, options.shift)
+    this.store = new FaultyStore(options.store, this.clock)
     const settings = { instance: name, dataFolder: options.dataFolder } as ConstructorParameters<typeof HoldingRecord>[2]
     const timeline = new Timeline(this.clock, settings)
     const index = new CallerIndex(this.store)
@@ -91,21 +91,21 @@
     this.files = new FileStore(this.store, this.clock, index, expiries, configuration)
     this.jobs = new JobStore(this.store, this.clock, work, index, expiries, cancelled, configuration)
     this.watch = new JobWatch(this.jobs, cancelled, this.clock, this.pauses)
-    const ends = new JobEnds(this.account, this.holding, this.clock, timeline)
-    const counter = new JobCounter(this.jobs, work, this.clock, ends)
+    const outcomes = new JobOutcomes(this.account, this.holding, this.clock, timeline)
+    const counter = new JobCounter(this.jobs, work, this.clock, outcomes)
     const claims = new ChunkClaims(this.store, this.clock, this.files, this.holding, counter, this.account, timeline)
     this.source = new ChunkSource(new WorkFinder(work, this.watch, this.holding, configuration, this.clock), claims, this.watch, this.holding, this.pauses, this.clock)
-    this.settler = new JobSettler(this.store, this.clock, this.jobs, work, this.holding, ends)
+    this.finalizer = new JobFinalizer(this.store, this.clock, this.jobs, work, this.holding, outcomes)
     this.results = new ResultReader(this.store, this.files, this.clock)
-    const recovery = new Recovery(this.store, timeline)
+    const recovery = new ClaimRecovery(this.store, timeline)
     this.spool = new ResultSpool(this.store, this.clock, settings, { write: () => {} }, this.holding, this.source)
     const links = { send: options.send ?? (() => {}) } as unknown as PeerLinks
-    this.cleaner = new Cleaner(this.store, this.clock, expiries, this.files, this.jobs, index, cancelled, configuration, createMembers(options.members), this.holding, timeline)
-    this.care = new JobCare(this.clock, createMembers(options.members), links, this.holding, this.watch, this.jobs, this.settler, recovery, this.source)
+    this.cleaner = new ExpiryCleaner(this.store, this.clock, expiries, this.files, this.jobs, index, cancelled, configuration, createMembers(options.members), this.holding, timeline)
+    this.supervisor = new JobSupervisor(this.clock, createMembers(options.members), links, this.holding, this.watch, this.jobs, this.finalizer, recovery, this.source)
   }
 
   async start (): Promise<this> {
-    for (const part of [this.pauses, this.holding, this.watch, this.source, this.care, this.spool, this.cleaner]) await part.start()
+    for (const part of [this.pauses, this.holding, this.watch, this.source, this.supervisor, this.spool, this.cleaner]) await part.start()
     this.source.subscribe(() => this.fill())
     this.clock.every(200, () => {
       this.source.want(SERVICE, this.slots)
--- a/test/batch/helpers/trial.ts
+++ b/test/batch/helpers/simulation.ts
@@ -2,23 +2,23 @@
 import type { PeerHandler } from '../../../src/peers/peer-handler.js'
 import type { PeerMessage } from '../../../src/peers/peer-message.js'
 import { VirtualClock } from '../../helpers/virtual-clock.js'
-import { TrialDaemon } from './trial-daemon.js'
-import type { TrialEvent } from './trial-event.js'
+import { SimulatedDaemon } from './simulated-daemon.js'
+import type { FaultEvent } from './fault-event.js'
 
 const SECOND = 1_000
 
 /** Several daemons over one store and one virtual clock, with faults. */
-export class Trial {
+export class Simulation {
   readonly store = new MemoryStore()
   readonly clock = new VirtualClock()
   readonly runs: Array<{ readonly item: string, readonly daemon: string, readonly at: number }> = []
-  readonly daemons: TrialDaemon[] = []
+  readonly daemons: SimulatedDaemon[] = []
   readonly shift = { ms: 0 }
   readonly faults = { outageUntil: -1, lostUntil: -1, oldUntil: -1 }
   private readonly dead = new Set<string>()
   private puts = 0
 
-  constructor (readonly options: Pick<ConstructorParameters<typeof TrialDaemon>[1], 'answer' | 'runTime' | 'dataFolder' | 'slots'> & { readonly links?: boolean } = {}) {
+  constructor (readonly options: Pick<ConstructorParameters<typeof SimulatedDaemon>[1], 'answer' | 'runTime' | 'dataFolder' | 'slots'> & { readonly links?: boolean } = {}) {
     this.store.fault = ({ call }) => {
       if (this.second < this.faults.outageUntil) return { fail: { type: 'unavailable', reason: 'outage' } }
       const lost = call === 'put' && this.second < this.faults.lostUntil && ++this.puts % 3 === 0
@@ -39,7 +39,7 @@
   }
 
   /** Lets a second pass, `events` falling on it first. */
-  async step (events: readonly TrialEvent[] = []): Promise<void> {
+  async step (events: readonly FaultEvent[] = []): Promise<void> {
     for (const event of events) if (event.at === this.second) await this.apply(event)
     for (const { store } of this.daemons) store.oldReads = this.second < this.faults.oldUntil ? 3 : 0
     await this.clock.advance(SECOND)
@@ -49,17 +49,17 @@
     for (let i = 0; i < seconds; i++) await this.step()
   }
 
-  private create (name: string): TrialDaemon {
+  private create (name: string): SimulatedDaemon {
     const { store, clock, runs, shift, members } = this
     const send = (to: string, message: PeerMessage): void => {
       const daemon = this.options.links === true ? this.daemons.find(({ name }) => name === to) : undefined
-      const handlers = daemon?.care.extensions.map(({ value }) => value as PeerHandler)
+      const handlers = daemon?.supervisor.extensions.map(({ value }) => value as PeerHandler)
       handlers?.find(({ type }) => type === message.type)?.handle(message, name)
     }
-    return new TrialDaemon(name, { store, clock, runs, shift, members, send, ...this.options })
+    return new SimulatedDaemon(name, { store, clock, runs, shift, members, send, ...this.options })
   }
 
-  private async apply (event: TrialEvent): Promise<void> {
+  private async apply (event: FaultEvent): Promise<void> {
     switch (event.type) {
       case 'kill': return this.kill(event.daemon)
       case 'replace': {
--- a/test/batch/retention.test.ts
+++ b/test/batch/retention.test.ts
@@ -1,7 +1,7 @@
 import 'reflect-metadata'
 import test from 'ava'
-import { createTrialJob } from './helpers/create-trial-job.js'
-import { Trial } from './helpers/trial.js'
+import { createTestJob } from './helpers/create-test-job.js'
+import { Simulation } from './helpers/simulation.js'
 
 const DAY = 86_400_000
 const KINDS = ['job', 'file', 'items', 'chunk', 'part', 'work', 'expiry', 'caller-job', 'caller-file', 'file-job']
@@ -9,13 +9,13 @@
 // What the caller sees: results that stay until it has read them, and then for the stated time. Everything that a job
 // left at the platform goes with it, the file it came from once no job names it, and no read lists all jobs.
 test('read results go after their time with all they left behind, unread ones stay', async t => {
-  const trial = await new Trial().start(2)
-  const [daemon] = trial.daemons
-  const job = await createTrialJob(daemon!, { count: 300 })
-  await trial.run(60)
+  const simulation = await new Simulation().start(2)
+  const [daemon] = simulation.daemons
+  const job = await createTestJob(daemon!, { count: 300 })
+  await simulation.run(60)
   const skip = async (days: number): Promise<void> => {
-    trial.shift.ms += days * DAY
-    await trial.run(180)
+    simulation.shift.ms += days * DAY
+    await simulation.run(180)
   }
   await skip(80)
   t.is((await daemon!.jobs.read(job.id)).unwrap().status, 'completed')
@@ -23,6 +23,6 @@
   await skip(29)
   t.true((await daemon!.jobs.read(job.id)).ok)
   for (let i = 0; i < 4; i++) await skip(1)
-  const left = KINDS.filter(kind => trial.store.objects.list(kind, '', '', 1).length > 0)
+  const left = KINDS.filter(kind => simulation.store.objects.list(kind, '', '', 1).length > 0)
   t.deepEqual(left, [])
 })
--- a/test/batch/look-pause.test.ts
+++ b/test/batch/search-pause.test.ts
@@ -1,11 +1,11 @@
 import test from 'ava'
-import { planLookPause } from '../../src/batch/plan-look-pause.js'
+import { planSearchPause } from '../../src/batch/plan-search-pause.js'
 
 const TABLE: readonly (readonly [daemons: number, pause: number])[] = [[1, 1_000], [5, 1_000], [6, 1_200], [48, 9_600], [380, 60_000]]
 
 for (const [daemons, pause] of TABLE) {
   test(`${daemons} daemons look again after ${pause} ms, so that the fleet's looks stay bounded`, t => {
-    t.is(planLookPause(daemons), pause)
+    t.is(planSearchPause(daemons), pause)
     t.true(daemons / (pause / 1_000) <= 7)
   })
 }
--- a/test/batch/spool.test.ts
+++ b/test/batch/spool.test.ts
@@ -6,9 +6,9 @@
 import { join } from 'node:path'
 import { decodeSpool } from '../../src/batch/decode-spool.js'
 import { encodeSpoolLine } from '../../src/batch/encode-spool-line.js'
-import { createTrialJob } from './helpers/create-trial-job.js'
+import { createTestJob } from './helpers/create-test-job.js'
 import { readLines } from './helpers/read-lines.js'
-import { Trial } from './helpers/trial.js'
+import { Simulation } from './helpers/simulation.js'
 
 const SEED = 20261206
 const ITEMS = 60
@@ -19,20 +19,20 @@
 test('results spooled in an outage are recorded by the next run', async t => {
   const dataFolder = mkdtempSync(join(tmpdir(), 'citronwheel-spool-'))
   t.teardown(() => rmSync(dataFolder, { recursive: true }))
-  const trial = await new Trial({ dataFolder }).start(1)
-  const job = await createTrialJob(trial.daemons[0]!, { count: ITEMS })
-  await trial.run(2)
-  trial.faults.outageUntil = trial.second + 30
-  await trial.run(25)
-  t.is(trial.runs.length, ITEMS)
+  const simulation = await new Simulation({ dataFolder }).start(1)
+  const job = await createTestJob(simulation.daemons[0]!, { count: ITEMS })
+  await simulation.run(2)
+  simulation.faults.outageUntil = simulation.second + 30
+  await simulation.run(25)
+  t.is(simulation.runs.length, ITEMS)
   t.true(readFileSync(join(dataFolder, 'batch-results.spool'), 'utf8').split('\n').length > ITEMS / 2)
-  trial.kill(0)
-  await trial.run(10)
-  await trial.step([{ type: 'replace', daemon: 0, at: trial.second }])
-  await trial.run(20)
-  t.is((await readLines(trial.daemons[0]!, job)).size, ITEMS)
-  t.is((await trial.daemons[0]!.jobs.read(job.id)).unwrap().status, 'completed')
-  t.is(trial.runs.length, ITEMS)
+  simulation.kill(0)
+  await simulation.run(10)
+  await simulation.step([{ type: 'replace', daemon: 0, at: simulation.second }])
+  await simulation.run(20)
+  t.is((await readLines(simulation.daemons[0]!, job)).size, ITEMS)
+  t.is((await simulation.daemons[0]!.jobs.read(job.id)).unwrap().status, 'completed')
+  t.is(simulation.runs.length, ITEMS)
 })
 
 test('a spool file cut or changed anywhere gives whole entries only', t => {
--- a/test/batch/takeover.test.ts
+++ b/test/batch/takeover.test.ts
@@ -1,9 +1,9 @@
 import 'reflect-metadata'
 import test from 'ava'
-import { Recovery } from '../../src/batch/recovery.js'
+import { ClaimRecovery } from '../../src/batch/claim-recovery.js'
 import { Timeline } from '../../src/observe/timeline.js'
-import { createTrialJob } from './helpers/create-trial-job.js'
-import { Trial } from './helpers/trial.js'
+import { createTestJob } from './helpers/create-test-job.js'
+import { Simulation } from './helpers/simulation.js'
 
 const STEP = 100
 
@@ -13,17 +13,17 @@
 }
 
 async function measureTakeover (killAt: number, call: number): Promise<number> {
-  const trial = await new Trial({ runTime: 200 }).start(2)
-  await createTrialJob(trial.daemons[0]!, { count: 200, idempotent: i => i % 2 === 0 })
-  for (const { store } of trial.daemons) store.delay = call
-  await trial.clock.advance(killAt)
-  while (trial.runs.length === 0) await trial.clock.advance(STEP)
-  const holder = trial.runs[0]!.daemon
-  trial.kill(trial.daemons.findIndex(({ name }) => name === holder))
-  const killed = trial.clock.now()
-  const isTaken = (): boolean => trial.runs.some(({ daemon }) => daemon !== holder)
-  while (!isTaken() && trial.clock.now() < killed + 70_000) await trial.clock.advance(STEP)
-  return trial.clock.now() - killed
+  const simulation = await new Simulation({ runTime: 200 }).start(2)
+  await createTestJob(simulation.daemons[0]!, { count: 200, idempotent: i => i % 2 === 0 })
+  for (const { store } of simulation.daemons) store.delay = call
+  await simulation.clock.advance(killAt)
+  while (simulation.runs.length === 0) await simulation.clock.advance(STEP)
+  const holder = simulation.runs[0]!.daemon
+  simulation.kill(simulation.daemons.findIndex(({ name }) => name === holder))
+  const killed = simulation.clock.now()
+  const isTaken = (): boolean => simulation.runs.some(({ daemon }) => daemon !== holder)
+  while (!isTaken() && simulation.clock.now() < killed + 70_000) await simulation.clock.advance(STEP)
+  return simulation.clock.now() - killed
 }
 
 // What the caller sees: a job that stands still after a daemon was killed. Another daemon frees the chunk and looks for
@@ -44,20 +44,20 @@
   const call = 300
   const times: number[] = []
   for (let freedAt = 1_500; freedAt < 8_000; freedAt += STEP) {
-    const trial = await new Trial({ runTime: 200 }).start(2)
-    await createTrialJob(trial.daemons[0]!, { count: 200 })
-    await trial.clock.advance(1_000)
-    const other = trial.daemons.findIndex(({ name }) => name !== trial.runs[0]!.daemon)
-    const { clock, name } = trial.daemons[1 - other]!
+    const simulation = await new Simulation({ runTime: 200 }).start(2)
+    await createTestJob(simulation.daemons[0]!, { count: 200 })
+    await simulation.clock.advance(1_000)
+    const other = simulation.daemons.findIndex(({ name }) => name !== simulation.runs[0]!.daemon)
+    const { clock, name } = simulation.daemons[1 - other]!
     clock.freeze()
-    trial.daemons[other]!.store.delay = call
-    await trial.clock.advance(freedAt)
-    const timeline = new Timeline(trial.clock, { instance: 'test' } as ConstructorParameters<typeof Timeline>[1])
-    t.true(await new Recovery(trial.store, timeline).recover(name))
-    trial.daemons[other]!.source.lookAgain()
-    const freed = trial.clock.now()
-    while (!trial.runs.some(({ daemon }) => daemon !== name) && trial.clock.now() < freed + 70_000) await trial.clock.advance(STEP)
-    times.push(trial.clock.now() - freed)
+    simulation.daemons[other]!.store.delay = call
+    await simulation.clock.advance(freedAt)
+    const timeline = new Timeline(simulation.clock, { instance: 'test' } as ConstructorParameters<typeof Timeline>[1])
+    t.true(await new ClaimRecovery(simulation.store, timeline).recover(name))
+    simulation.daemons[other]!.source.searchAgain()
+    const freed = simulation.clock.now()
+    while (!simulation.runs.some(({ daemon }) => daemon !== name) && simulation.clock.now() < freed + 70_000) await simulation.clock.advance(STEP)
+    times.push(simulation.clock.now() - freed)
   }
   t.log(`claimed ${Math.min(...times)} to ${Math.max(...times)} ms after the news`)
   t.true(Math.max(...times) <= 12 * call)
