--- a/src/batch/add-counts.ts
+++ b/src/batch/add-counts.ts
@@ -1,6 +1,6 @@
 import type { Counts } from './counts.js'
 
-/** The sum over chunks. */
+/** Returns the sum of the counts. */
 export function addCounts (all: readonly Counts[]): Counts {
   return all.reduce((sum, counts) => ({
     completed: sum.completed + counts.completed,
--- a/src/batch/batch-file.ts
+++ b/src/batch/batch-file.ts
@@ -1,13 +1,13 @@
 import type { ServiceChunks } from './service-chunks.js'
 
-/** An uploaded batch file, in the object `file/ID`; its items are in the objects `items/ID.N`. */
+/** An uploaded batch file, stored as `file/ID`. Its items are stored as `items/ID.N`, one object a chunk. */
 export interface BatchFile {
   readonly id: string
   readonly caller: string
   readonly name: string
   readonly bytes: number
   readonly items: number
-  /** Its chunks, each of one service, in the order of their numbers. */
+  /** Chunks by service; chunk numbers count through all services in this order. */
   readonly services: readonly ServiceChunks[]
   /** Wall-clock ms. */
   readonly created: number
--- a/src/batch/caller-index.ts
+++ b/src/batch/caller-index.ts
@@ -5,14 +5,15 @@
 import type { StoreError } from '../store/store-error.js'
 import { createObject } from './create-object.js'
 
+/** Times are subtracted from it so that the newest sort first. */
 const LAST_TIME = 9_999_999_999_999
 
-/** What the index needs of a file or job. */
+/** The properties of a file or job that its entry is made from. */
 interface Owned { readonly id: string, readonly caller: string, readonly created: number }
 
 /**
- * The files and jobs of each caller, newest first. One small object each, under a name that sorts them, so that a
- * page is one read however many there are, and two daemons that add at once never conflict.
+ * Lists the files and jobs of each caller, newest first. Each has one small object whose name gives the order, so
+ * that a page is a single listing and daemons that add entries at the same time don't conflict.
  */
 @scoped(Lifecycle.ContainerScoped)
 export class CallerIndex {
@@ -28,7 +29,10 @@
     return await this.store.delete(`caller-${type}`, formatName(owned), read.val.version)
   }
 
-  /** Ids of the caller's newest, after `after` where given; one more than `limit` when there are more. */
+  /**
+   * Returns ids of the caller's files or jobs, newest first, from the one after `after`; `limit + 1` ids if there are
+   * more than `limit`.
+   */
   async list (type: 'file' | 'job', caller: string, { after, limit }: { readonly after?: Owned, readonly limit: number }): Promise<Result<readonly string[], StoreError>> {
     const found = await this.store.list<{ id: string }>(`caller-${type}`, { prefix: `${caller}~`, after: after && formatName(after), limit: limit + 1 })
     return found.map(entries => entries.map(({ value }) => value.id))
--- a/src/batch/cancelled-index.ts
+++ b/src/batch/cancelled-index.ts
@@ -6,16 +6,16 @@
 import type { StoreError } from '../store/store-error.js'
 import { createObject } from './create-object.js'
 
-/** Far above the 60 s for which items start without a look, and above what wall clocks differ by. */
+/** ms. Exceeds the 60 s for which items may start without a successful check, and clock skew between daemons. */
 const LOOKBACK = 900_000
-/** Entries older than this are of no use to anybody. */
+/** ms after which entries are removed. */
 const RETENTION = 3_600_000
 const PAGE = 500
 const TIME_DIGITS = 13
 
 /**
- * The jobs that were cancelled of late, in small objects under names that sort by time. A daemon asks with one listing
- * whether any of its jobs is among them, in place of one read a job.
+ * Indexes recently cancelled jobs by time. With one listing a daemon finds out whether any of its jobs was cancelled,
+ * instead of reading each job.
  */
 @scoped(Lifecycle.ContainerScoped)
 export class CancelledIndex {
@@ -28,13 +28,13 @@
     return (await createObject(this.store, 'cancelled', `${formatTime(this.clock.date())}~${job}`, { job })).map(() => undefined)
   }
 
-  /** Ids of jobs cancelled in the last quarter of an hour; a page that is full may lack the latest. */
+  /** Returns ids of recently cancelled jobs. If the page is `full`, the latest ones may be missing. */
   async list (): Promise<Result<{ readonly jobs: ReadonlySet<string>, readonly full: boolean }, StoreError>> {
     const found = await this.store.list<{ job: string }>('cancelled', { after: formatTime(this.clock.date() - LOOKBACK), limit: PAGE })
     return found.map(entries => ({ jobs: new Set(entries.map(({ value }) => value.job)), full: entries.length === PAGE }))
   }
 
-  /** Removes a page of entries whose time is over. */
+  /** Removes entries older than `RETENTION`, at most one page at a time. */
   async clean (): Promise<void> {
     const found = (await this.store.list('cancelled', { limit: PAGE })).unwrapOr([])
     const end = formatTime(this.clock.date() - RETENTION)
--- a/src/batch/chunk-claims.ts
+++ b/src/batch/chunk-claims.ts
@@ -17,10 +17,10 @@
 import type { Job } from './job.js'
 import { JobCounter } from './job-counter.js'
 
-/** Chunks that are remembered as counted; a chunk is met again only until its job has its counts. */
+/** Limits the set of counted chunks. A chunk is read again only until its job has stored its counts. */
 const MAX_COUNTED = 10_000
 
-/** A chunk to claim, and what to call while it is held. */
+/** A chunk to claim, and callbacks for while it is held. */
 interface Claim {
   readonly job: Job
   readonly n: number
@@ -31,7 +31,7 @@
   readonly onEnd: (chunk: Chunk) => void
 }
 
-/** Claims single chunks, and sees their ends through to the job and the account. */
+/** Claims single chunks, and adds the counts of ended chunks to their jobs and to the account. */
 @scoped(Lifecycle.ContainerScoped)
 export class ChunkClaims {
   private readonly counting = new Set<Promise<void>>()
@@ -47,7 +47,7 @@
     @inject(Timeline) private readonly timeline: Timeline
   ) {}
 
-  /** The chunk, held; or why it isn't. `busy` tells that another daemon holds it. */
+  /** Returns the claimed chunk, or why it could not be claimed. `busy` means that another daemon holds it. */
   async claim (claim: Claim): Promise<HeldChunk | 'busy' | 'closed' | 'failed'> {
     const name = `${claim.job.id}.${claim.n}`
     const read = await this.store.get<Chunk>('chunk', name)
@@ -63,7 +63,7 @@
     return await this.write(claim, { name, next: next.val, version: read.ok ? read.val.version : 0, items: items.val })
   }
 
-  /** Resolves once what has ended is counted. */
+  /** Resolves once all chunks that have ended so far are counted. */
   async waitForCounts (): Promise<void> {
     await Promise.all(this.counting)
   }
@@ -103,7 +103,7 @@
     })
   }
 
-  /** Tells the job of a closed chunk, and the account where it was closed here. */
+  /** Adds the counts of a closed chunk to its job, and its results to the account if this daemon closed it. */
   private async finish ({ job, n, service }: Claim, chunk: Chunk): Promise<'closed'> {
     const { closed } = chunk
     this.timeline.record({ part: 'batch', what: closed === undefined ? 'let go' : 'finished', job: job.id, detail: `chunk ${n}` })
@@ -116,8 +116,8 @@
   }
 
   /**
-   * Whether a closed chunk is this daemon's to count, for the first time. Until the job has its counts a chunk that was
-   * closed here is met again by the next look for work; without the memory its results are counted at each.
+   * Returns whether this daemon closed the chunk and has not counted it yet. Until the job has stored the chunk's
+   * counts, every search for work reads the closed chunk again and would count its results again.
    */
   private mayCount (name: string, { closed }: Chunk): boolean {
     const { instance, started } = this.holding.incarnation
--- a/src/batch/chunk-entry.ts
+++ b/src/batch/chunk-entry.ts
@@ -1,11 +1,11 @@
 import type { ItemResult } from './item-result.js'
 
-/** One thing that the holder of a chunk records in it, by the item's place in the chunk. */
+/** An update that the holder of a chunk records in it. `item` is the item's index in the chunk. */
 export type ChunkEntry =
   | { readonly type: 'result', readonly item: number, readonly result: ItemResult }
-  /** The item is about to be sent, and may not be sent again. */
+  /** The item is not idempotent and about to be sent; it must not be sent again. */
   | { readonly type: 'started', readonly item: number }
-  /** The item was never sent after all. */
+  /** The item was not sent after all. */
   | { readonly type: 'not started', readonly item: number }
-  /** The holder lets go of the chunk. */
+  /** The holder releases the chunk. */
   | { readonly type: 'released' }
--- a/src/batch/chunk-source.ts
+++ b/src/batch/chunk-source.ts
@@ -19,25 +19,28 @@
 import { planSearchPause } from './plan-search-pause.js'
 import { WorkFinder } from './work-finder.js'
 
+/** ms between searches for work. */
 const SEARCH_PERIOD = 2_000
+/** ms after which `drain` returns in any case. */
 const DRAIN_TIMEOUT = 90_000
-/** Bytes of results that may wait for the platform before nothing more is started. */
+/** Bytes of results that are not yet durable above which no more items are started or claimed. */
 const MAX_UNSAVED_BYTES = 16_000_000
 
+/** The demand for items of one service; `nextSearch` in monotonic ms. */
 interface Demand { slots: number, searching: boolean, nextSearch: number }
 
-/** The source of batch items: claims chunks of open jobs ahead of what the owners of servers can run. */
+/** Supplies the owners of servers with batch items: claims chunks of open jobs ahead of the demand. */
 @scoped(Lifecycle.ContainerScoped)
 export class ChunkSource implements Part, BatchSource {
   readonly extensions = [batchSourcePoint.of(this)]
-  /** Daemons of the fleet, kept up to date by whoever knows them. */
+  /** Number of daemons in the fleet, updated by `JobSupervisor`. */
   fleetSize = 1
   private readonly demands = new Map<string, Demand>()
   private readonly held = new HeldChunks()
   private readonly listeners = new Set<(service: string) => void>()
   private readonly freedListeners = new Set<(chunk: string) => void>()
   private draining = false
-  /** Counts what others said of new or freed work. */
+  /** Number of announcements of new or freed work received so far. */
   private announcements = 0
   private cancelTimer = (): void => {}
 
@@ -58,8 +61,9 @@
   }
 
   /**
-   * Takes no more, lets what runs end, and leaves the rest to others at once. In an outage of the platform nothing
-   * can be let go; after a limit it ends all the same, and the claims are taken over as those of a dead daemon.
+   * Claims no more chunks, lets running items end and releases all chunks. During an outage of the platform releasing
+   * fails; `drain` then returns after `DRAIN_TIMEOUT`, and other daemons take over the claims as those of a dead
+   * daemon.
    */
   async drain (): Promise<void> {
     this.draining = true
@@ -74,7 +78,7 @@
     const demand = this.demands.get(service) ?? { slots: 0, searching: false, nextSearch: 0 }
     this.demands.set(service, demand)
     demand.slots = slots
-    // A daemon whose servers are all gone would keep what it claimed from those that could run it.
+    // A daemon without servers can't run the items of its chunks, but others can.
     if (slots === 0) for (const held of this.held.listByService(service)) void held.release()
     this.prepare(service)
     void this.search(service, demand)
@@ -96,17 +100,17 @@
     this.listeners.add(listener)
   }
 
-  /** `listener` hears of each chunk of a job that goes on which this daemon has let go. */
+  /** Calls `listener` with the name of each chunk that this daemon releases while its job is in progress. */
   subscribeFreed (listener: (chunk: string) => void): void {
     this.freedListeners.add(listener)
   }
 
-  /** Results of held chunks that aren't known to be durable. */
+  /** Returns the results of held chunks that are not yet known to be durable. */
   listUnsaved (): readonly SpoolEntry[] {
     return this.held.list().flatMap(held => held.unsaved.map(entry => ({ chunk: held.name, items: held.options.items.length, ...entry })))
   }
 
-  /** Looks for work of these services now, or of all, because somebody said that there is some. */
+  /** Searches at once for work of these services, or of all, after work has been announced. */
   searchAgain (services: readonly string[] = [...this.demands.keys()]): void {
     this.announcements++
     this.finder.clearBusy()
@@ -145,9 +149,10 @@
   }
 
   /**
-   * One look at a time for each service; one that found nothing is repeated no sooner than after a pause. News that
-   * comes during a look is too late for what that look has read: it finds the freed chunk still held and puts it
-   * aside, so that the chunk waits out the pause, up to a minute in a large fleet. Such a look is repeated at once.
+   * Runs one search at a time for each service; after one that found nothing, the next starts no sooner than after a
+   * pause. An announcement may arrive after a running search has read the freed chunk as held and marked it busy.
+   * That search is repeated at once: otherwise the chunk would wait for the pause to end, up to a minute in a large
+   * fleet.
    */
   private async search (service: string, demand: Demand): Promise<void> {
     if (demand.searching || this.clock.now() < demand.nextSearch) return
@@ -183,7 +188,7 @@
       return false
     }
     this.held.add(held)
-    // The job may have been cancelled, or the daemon told to drain, while the claim was on its way.
+    // The job may have been cancelled, or draining may have begun, during the claim.
     const inProgress = this.jobs.isWatching(job.id) || await this.jobs.check(job.id) !== undefined
     if (!inProgress || this.draining) void held.release({ abort: true })
     else this.notifyReady(service)
--- a/src/batch/chunk-writer.ts
+++ b/src/batch/chunk-writer.ts
@@ -13,8 +13,10 @@
 
 const MAX_BATCH_ENTRIES = 64
 const MAX_BATCH_BYTES = 500_000
+/** Longest time in ms that an entry waits for others to join its write. */
 const MAX_WAIT = 5_000
 const MAX_CONFLICTS = 3
+/** Estimated size of an entry beside its result. */
 const ENTRY_BYTES = 100
 
 interface ChunkWriterOptions {
@@ -24,13 +26,14 @@
   readonly items: number
   /** The chunk as it was claimed. */
   readonly object: StoredObject<Chunk>
-  /** Called, possibly more than once, when the chunk turns out to be closed or another's. */
+  /** Called, possibly more than once, when the chunk turns out to be closed or held by another daemon. */
   readonly onChange: () => void
 }
 
 /**
- * What the holder of a chunk records in it, many entries in one conditional update. After a conflict it takes the
- * chunk as it now is and adds what is still open there: first recorded wins, also for a holder that lost its claim.
+ * Writes the updates of a chunk's holder, many entries in one conditional update. After a conflict it reads the chunk
+ * again and applies the entries to the current version. The first recorded result of an item wins, so a holder that
+ * has lost its claim may still add results of items that have none.
  */
 export class ChunkWriter {
   private object: StoredObject<Chunk>
@@ -57,12 +60,12 @@
     return isHolder(this.chunk, this.options.by)
   }
 
-  /** Entries that aren't known to be durable, and their bytes. */
+  /** Entries not yet known to be durable, and their size in bytes. */
   get waiting (): { readonly entries: readonly ChunkEntry[], readonly size: number } {
     return this.commit.waiting
   }
 
-  /** Resolves once the entry is in the chunk, or is of no use there any more. */
+  /** Resolves once the entry is stored or no longer applies. */
   async add (entry: ChunkEntry, { urgent = false } = {}): Promise<Result<void, StoreError>> {
     const added = this.commit.add(entry)
     if (urgent) this.commit.flush()
@@ -73,7 +76,7 @@
     this.commit.flush()
   }
 
-  /** Reads the chunk again; after a pause it may be another's. */
+  /** Reads the chunk again; another daemon may have claimed it during a pause. */
   async refresh (): Promise<Result<void, StoreError>> {
     const read = await this.options.store.get<Chunk>('chunk', this.object.name)
     if (read.err) return read
@@ -92,7 +95,7 @@
       const read = await this.refresh()
       if (read.err) return read
     }
-    return Err({ type: 'unavailable', reason: 'others kept changing the chunk' })
+    return Err({ type: 'unavailable', reason: 'too many conflicting updates of the chunk' })
   }
 
   private async put (next: Chunk): Promise<Result<StoredObject<Chunk>, StoreError>> {
@@ -101,7 +104,7 @@
     return spilled.ok ? await store.put('chunk', this.object.name, spilled.val, this.object.version) : spilled
   }
 
-  /** An old read never takes the place of what is known. */
+  /** Ignores a version older than the known one. */
   private acceptRead (object: StoredObject<Chunk>): void {
     if (object.version <= this.object.version) return
     this.object = object
--- a/src/batch/chunk.ts
+++ b/src/batch/chunk.ts
@@ -4,17 +4,18 @@
 import type { ResultPart } from './result-part.js'
 
 /**
- * The claim and the results of one chunk of a job, in the object `chunk/JOB.N`. Items go by their place in the
- * chunk. The version of the object is what says who may write; a holder that lost its claim loses the race for it.
+ * The claim and the results of one chunk of a job, stored as `chunk/JOB.N`. Items are identified by their index in
+ * the chunk. Updates are conditional on the version of the object, so a holder that has lost its claim gets a
+ * conflict.
  */
 export interface Chunk {
-  /** Who runs it; absent when it is free. */
+  /** The run of a daemon that holds the chunk; absent if it is free. */
   readonly holder?: Incarnation
   readonly results: Readonly<Record<string, ItemResult>>
-  /** Results that were moved out to keep this object small. */
+  /** Results that were moved to objects of their own to keep this one small. */
   readonly parts: readonly ResultPart[]
-  /** Non-idempotent items that may have been sent; without a result, their fate isn't known to anybody else. */
+  /** Non-idempotent items that may have been sent. Of those without a result only the holder knows whether they ran. */
   readonly started: readonly number[]
-  /** Set with the last result, or at the cancelling of the job; the chunk never changes again. */
+  /** Set with the last result, or when the job is cancelled. The chunk never changes afterwards. */
   readonly closed?: ClosedChunk
 }
--- a/src/batch/claim-chunk.ts
+++ b/src/batch/claim-chunk.ts
@@ -9,7 +9,7 @@
   readonly name: string
   readonly items: number
   readonly by: Incarnation
-  /** What the present holder's `holding` object says; absent where there is none. */
+  /** The `holding` object of the current holder, if there is one. */
   readonly holding?: Holding
   /** Wall-clock ms. */
   readonly date: number
@@ -18,12 +18,13 @@
 const emptyChunk: Chunk = { results: {}, parts: [], started: [] }
 
 /**
- * The chunk as `by` claims it, or why it can't. A claim is free when its holder has let go, runs no more, has let
- * its lease lapse or doesn't list the chunk. Judging that wrongly costs double work and nothing else: the claim is
- * a conditional update, after which the earlier holder's own updates fail.
+ * Returns the chunk as claimed by `by`, or why it can't be claimed. A chunk can be claimed when its holder has
+ * released it, has been restarted, has let its lease expire or doesn't list the chunk. A wrong decision costs
+ * duplicate work and nothing else: the claim is a conditional update, after which the earlier holder's updates
+ * conflict.
  *
- * An item that an earlier holder marked as started and that has no result may or may not have run. Its fate can't
- * be found out, so it ends here as unknown; running it again would be the second run that mustn't happen.
+ * An item without a result that an earlier holder marked as started may or may not have run. There is no way to find
+ * out, so it fails as unknown; running it again could be a second run.
  */
 export function claimChunk (present: Chunk | undefined, { name, items, by, holding, date }: ClaimOptions): Result<Chunk, 'closed' | 'held'> {
   const chunk = present ?? emptyChunk
--- a/src/batch/claim-recovery.ts
+++ b/src/batch/claim-recovery.ts
@@ -6,10 +6,10 @@
 import type { Holding } from './holding.js'
 import { isHolder } from './is-holder.js'
 
-/** Holders that one listing gives; the others show once those are freed. */
+/** Maximum number of holders in a listing; others are listed once these are recovered. */
 const MAX_HOLDERS = 500
 
-/** Frees what a dead daemon held: one read tells what that is. */
+/** Frees the chunks of a dead daemon, which its `holding` object lists. */
 @scoped(Lifecycle.ContainerScoped)
 export class ClaimRecovery {
   constructor (
@@ -17,15 +17,15 @@
     @inject(Timeline) private readonly timeline: Timeline
   ) {}
 
-  /** Instances that have written what they hold, whether they still run or not. */
+  /** Returns the instances that have a `holding` object, whether they still run or not. */
   async listHolders (): Promise<readonly string[]> {
     const found = await this.store.list('holding', { limit: MAX_HOLDERS })
     return found.map(objects => objects.map(({ name }) => name)).unwrapOr([])
   }
 
   /**
-   * Takes the claims of a daemon away; says whether that is done. Should the daemon live after all, its next write
-   * to each chunk meets a changed version, so what is lost is the work it had in flight and no result.
+   * Removes the claims of a daemon; returns whether that is complete. If the daemon is alive after all, its next
+   * write to each chunk conflicts: the work in flight is lost, but no result.
    */
   async recover (instance: string): Promise<boolean> {
     const read = await this.store.get<Holding>('holding', instance)
--- a/src/batch/close-chunk.ts
+++ b/src/batch/close-chunk.ts
@@ -1,7 +1,7 @@
 import type { Incarnation } from '../kernel/incarnation.js'
 import type { Chunk } from './chunk.js'
 
-/** The chunk as it stays: items without a result are cancelled, and nobody holds it. */
+/** Returns the chunk in its final state: without a holder, and with items without a result counted as cancelled. */
 export function closeChunk (chunk: Chunk, { items, by }: { readonly items: number, readonly by: Incarnation }): Chunk {
   if (chunk.closed !== undefined) return chunk
   const inline = Object.values(chunk.results)
--- a/src/batch/count-chunk.ts
+++ b/src/batch/count-chunk.ts
@@ -7,8 +7,8 @@
 interface CountedChunk { readonly caller: string, readonly service: string, readonly chunk: Chunk }
 
 /**
- * Counts every recorded result of a closed chunk for the account. Called by the one that closed it, whose name the
- * chunk keeps, so that each result is counted once however many daemons had a hand in it.
+ * Counts each recorded result of a closed chunk for the account. Called only by the run of a daemon that closed the
+ * chunk, so that each result is counted once even if several daemons have recorded some.
  */
 export async function countChunk (store: ObjectStore, account: Account, { caller, service, chunk }: CountedChunk): Promise<void> {
   const results = (await readResults(store, chunk)).unwrapOr(chunk.results)
--- a/src/batch/counts.ts
+++ b/src/batch/counts.ts
@@ -1,4 +1,4 @@
-/** How the items of a chunk or a job ended. */
+/** Numbers of items of a chunk or a job by outcome. */
 export interface Counts {
   readonly completed: number
   readonly failed: number
--- a/src/batch/create-object.ts
+++ b/src/batch/create-object.ts
@@ -5,8 +5,8 @@
 const MAX_TRIES = 3
 
 /**
- * Creates an object, or gives back the one that is there already. A write whose fate isn't known is tried again:
- * had it taken effect, the second try meets what the first one wrote.
+ * Creates an object, or returns the existing one. A write whose outcome is unknown is repeated: if it took effect,
+ * the second attempt finds the object that the first one wrote.
  */
 export async function createObject<T> (store: ObjectStore, kind: string, name: string, value: T): Promise<Result<T, StoreError>> {
   for (let tries = 1; ; tries++) {
--- a/src/batch/decode-spool.ts
+++ b/src/batch/decode-spool.ts
@@ -2,8 +2,8 @@
 import type { SpoolEntry } from './spool-entry.js'
 
 /**
- * The entries of a spool file whose checksums are right, and how many lines aren't. A process that dies in a write
- * leaves a torn line; without the checksum it would be taken for a result, cut or mixed with the next.
+ * Decodes a spool file: returns the entries with a valid checksum, and the number of invalid lines. A process that
+ * crashes during a write leaves a torn line; without the checksum it could be read as a truncated result.
  */
 export function decodeSpool (text: string): { readonly entries: readonly SpoolEntry[], readonly torn: number } {
   const entries: SpoolEntry[] = []
--- a/src/batch/estimate-remaining-time.ts
+++ b/src/batch/estimate-remaining-time.ts
@@ -1,7 +1,7 @@
 import { addCounts } from './add-counts.js'
 import type { Job } from './job.js'
 
-/** Time in ms that the rest of a job needs at the pace it has had since it was created; 0 before its first result. */
+/** Estimates the time in ms that the rest of a job needs at its average pace so far; 0 before its first result. */
 export function estimateRemainingTime (job: Job, date: number): number {
   const { completed, failed, cancelled } = addCounts(Object.values(job.finished))
   const done = completed + failed + cancelled
--- a/src/batch/expiry-cleaner.ts
+++ b/src/batch/expiry-cleaner.ts
@@ -20,13 +20,14 @@
 import { listChunks } from './list-chunks.js'
 import { mayRemove } from './may-remove.js'
 
+/** ms between clean-ups. */
 const PERIOD = 60_000
 const DAY = 86_400_000
 const PAGE = 500
 
 /**
- * Removes jobs, results and files whose time is over, on one daemon at a time. The job goes last, so that a clean-up
- * that was cut short is done again from its start.
+ * Removes expired jobs, results and files, on one daemon at a time. The job itself is removed last, so that an
+ * interrupted removal is repeated from the start.
  */
 @scoped(Lifecycle.ContainerScoped)
 export class ExpiryCleaner implements Part {
@@ -64,7 +65,9 @@
     this.cleaning = false
   }
 
-  /** Removes it, or has it looked at again tomorrow; whatever fails is met again at the next look. */
+  /**
+   * Removes the file or job, or schedules another check in a day. A check that fails is repeated in the next period.
+   */
   private async checkExpiry (expiry: Expiry & { readonly name: string }): Promise<void> {
     const removed = expiry.type === 'job' ? await this.checkJob(expiry.id) : await this.checkFile(expiry.id)
     if (removed === 'failed') return
@@ -91,7 +94,7 @@
     return await this.remove('job', job.id)
   }
 
-  /** A file goes once no job names it and its time is over; jobs read their items' names from it to the last. */
+  /** Removes a file that no job refers to any more. Until then results take the ids of their items from it. */
   private async checkFile (id: string): Promise<'removed' | 'kept' | 'failed'> {
     const users = await this.store.list('file-job', { prefix: `${id}~`, limit: 1 })
     if (users.err) return 'failed'
@@ -102,7 +105,10 @@
     return await this.removeAll('items', `${id}.`) ? 'removed' : 'failed'
   }
 
-  /** Parts that no chunk names go too: a holder died after it wrote them. */
+  /**
+   * Removes all parts of a chunk, including those that a holder wrote before it crashed without adding them to the
+   * chunk.
+   */
   private async removeParts (prefix: string): Promise<boolean> {
     return await this.removeAll('part', prefix)
   }
--- a/src/batch/expiry-index.ts
+++ b/src/batch/expiry-index.ts
@@ -9,18 +9,21 @@
 const PAGE = 100
 const DAY_LENGTH = 'yyyy-mm-dd'.length
 
-/** What is to be looked at for removal, by day, in small objects under names that sort by it: a page is one read. */
+/**
+ * Schedules files and jobs for expiry checks by day. Each has one small object whose name gives the order, so that a
+ * page is a single listing.
+ */
 @scoped(Lifecycle.ContainerScoped)
 export class ExpiryIndex {
   constructor (@inject(tokens.store) private readonly store: ObjectStore) {}
 
-  /** Has a file or job looked at on the day of `date` (wall-clock ms). */
+  /** Schedules a check of a file or job for the day of `date` (wall-clock ms). */
   async add ({ type, id }: Expiry, date: number): Promise<Result<void, StoreError>> {
     const expiry: Expiry = { type, id }
     return (await createObject(this.store, 'expiry', `${formatDay(date)}~${type}~${id}`, expiry)).map(() => undefined)
   }
 
-  /** What fell due on the day of `date` or before, a page of it. */
+  /** Returns a page of the checks that are due by the day of `date`. */
   async list (date: number): Promise<Result<ReadonlyArray<Expiry & { readonly name: string }>, StoreError>> {
     const found = await this.store.list<Expiry>('expiry', { limit: PAGE })
     return found.map(entries => entries.filter(({ name }) => name.slice(0, DAY_LENGTH) <= formatDay(date)).map(({ name, value }) => ({ name, ...value })))
--- a/src/batch/expiry.ts
+++ b/src/batch/expiry.ts
@@ -1,4 +1,4 @@
-/** A file or job that is to be looked at for removal. */
+/** A file or job that is scheduled for an expiry check. */
 export interface Expiry {
   readonly type: 'file' | 'job'
   readonly id: string
--- a/src/batch/file-routes.ts
+++ b/src/batch/file-routes.ts
@@ -25,10 +25,11 @@
 import { showList } from './show-list.js'
 import { UploadBudget } from './upload-budget.js'
 
+/** Maximum size in bytes of all upload bodies in memory. */
 const UPLOAD_MEMORY = 250_000_000
 const RESULT_FILE = /^(batch-\w+)\.(output|errors)$/
 
-/** Files in the OpenAI shapes: uploaded ones, and the results of jobs as files to read. */
+/** Serves the OpenAI files API: uploaded batch files, and the results of jobs as read-only files. */
 @scoped(Lifecycle.ContainerScoped)
 export class FileRoutes implements Part {
   readonly extensions = ([
--- a/src/batch/file-store.ts
+++ b/src/batch/file-store.ts
@@ -15,7 +15,7 @@
 import type { ServiceChunks } from './service-chunks.js'
 import { splitItems } from './split-items.js'
 
-/** A batch file as it was uploaded and checked: its items, by the service they are for. */
+/** A validated batch file, with its items grouped by service. */
 interface Upload {
   readonly caller: string
   readonly name: string
@@ -23,7 +23,7 @@
   readonly items: ReadonlyMap<string, readonly Item[]>
 }
 
-/** Batch files and their items in the platform's objects. */
+/** Stores batch files and their items as objects of the platform. */
 @scoped(Lifecycle.ContainerScoped)
 export class FileStore {
   constructor (
@@ -35,8 +35,8 @@
   ) {}
 
   /**
-   * Keeps a file under an id that follows from its caller and content, so that the same upload is the same file.
-   * The file itself is written last: one that can be read is whole, listed, and known to the clean-up.
+   * Stores a file under an id derived from its caller and content, so that a repeated upload gives the same file. The
+   * `file` object is written last: a file that can be read is complete, listed and scheduled for removal.
    */
   async create ({ caller, name, bytes, items }: Upload): Promise<Result<BatchFile, StoreError>> {
     const id = `file-${hashId(caller, [...items])}`
@@ -62,7 +62,7 @@
     return (await this.store.get<readonly Item[]>('items', `${file}.${chunk}`)).map(({ value }) => value)
   }
 
-  /** A page of the caller's files, newest first, and whether there are more. */
+  /** Returns a page of the caller's files, newest first, and whether there are more. */
   async list (caller: string, { after, limit }: { readonly after?: BatchFile, readonly limit: number }): Promise<Result<{ readonly files: readonly BatchFile[], readonly more: boolean }, StoreError>> {
     const ids = await this.index.list('file', caller, { after, limit })
     if (ids.err) return ids
@@ -75,7 +75,7 @@
     return Ok({ files, more: ids.val.length > limit })
   }
 
-  /** Forgets a file. Its items stay for as long as jobs may read them, and go with the clean-up. */
+  /** Deletes a file. Its items remain as long as jobs may read them; the clean-up removes them. */
   async delete (file: BatchFile): Promise<Result<void, StoreError>> {
     const read = await this.store.get('file', file.id, 'caller')
     if (read.err) return read.val.type === 'missing' ? Ok(undefined) : read
--- a/src/batch/find-service.ts
+++ b/src/batch/find-service.ts
@@ -4,10 +4,10 @@
 const MODEL_PATHS = ['/v1/chat/completions', '/v1/completions']
 const PLAIN_PATH = /^\/services\/([^/]+)(\/.*)$/
 
-/** The service an item is for, and the path to ask there. */
+/** The service of an item, and the path of the request there. */
 interface Target { readonly name: string, readonly service: Service, readonly path: string }
 
-/** Finds the service that an item names by its model or path, or says what is wrong with it. */
+/** Finds the service that an item names by its model or path; returns an error message if there is none. */
 export function findService (item: Item, services: Readonly<Record<string, Service>>): Target | string {
   const plain = PLAIN_PATH.exec(item.url)
   const name = plain === null ? String(item.body.model) : plain[1]!
--- a/src/batch/finish-chunks.ts
+++ b/src/batch/finish-chunks.ts
@@ -2,7 +2,10 @@
 import type { Job } from './job.js'
 import { listChunks } from './list-chunks.js'
 
-/** The job with the counts of chunks that have been closed; the same job where it has them already. */
+/**
+ * Returns the job with the counts of closed chunks added, ended if these were the last; the same job if it has them
+ * already.
+ */
 export function finishChunks (job: Job, closed: ReadonlyMap<number, Counts>, date: number): Job {
   const added = [...closed].filter(([n]) => job.finished[n] === undefined)
   if (added.length === 0) return job
--- a/src/batch/held-chunk.ts
+++ b/src/batch/held-chunk.ts
@@ -14,8 +14,9 @@
 import { listRecorded } from './list-recorded.js'
 import { planRetry } from './plan-retry.js'
 
+/** ms between attempts to read the chunk again. */
 const RECHECK_PAUSE = 500
-/** Marked items that wait to be taken: each is lost as unknown when this daemon dies. */
+/** Maximum number of waiting items that are marked as started; if this daemon crashes, these fail as unknown. */
 const MAX_MARKED = 4
 
 interface HeldChunkOptions {
@@ -27,17 +28,17 @@
   readonly by: Incarnation
   readonly store: ObjectStore
   readonly clock: Clock
-  /** Whether items of the job may start now; notices a pause of the process before it answers. */
+  /** Whether items of the job may start now; detects a pause of the process first. */
   readonly mayStart: () => boolean
-  /** Called when items have become ready after there were none. */
+  /** Called when items have become ready. */
   readonly onReady: () => void
-  /** Called once, when nothing of the chunk is left to run or to record here. */
+  /** Called once, when this daemon has nothing left to run or to record for the chunk. */
   readonly onEnd: (chunk: Chunk) => void
 }
 
 type Pending = NonNullable<ReturnType<ItemQueue['take']>>
 
-/** A chunk that this daemon holds: its items on their way from waiting over running to recorded. */
+/** A chunk held by this daemon. Tracks its items while they wait, run and are recorded. */
 export class HeldChunk {
   readonly name: string
   private readonly queue = new ItemQueue()
@@ -71,7 +72,7 @@
     return this.writer.waiting.entries.flatMap(entry => entry.type === 'result' ? [entry] : [])
   }
 
-  /** Has non-idempotent items marked as started, a few ahead, until `slots` items are ready. */
+  /** Marks non-idempotent items as started, a few ahead, until `slots` items are ready. */
   prepare (slots: number): void {
     this.slots = slots
     if (this.state !== 'running') return
@@ -103,7 +104,10 @@
     }
   }
 
-  /** Starts nothing until the chunk was read again and is still held; after a pause it may be another's. */
+  /**
+   * Starts no items until the chunk has been read again and is still held; another daemon may have claimed it during
+   * a pause.
+   */
   async check (): Promise<void> {
     this.rechecking = true
     while (this.state === 'running' && (await this.writer.refresh()).err) await this.wait(RECHECK_PAUSE)
@@ -111,7 +115,7 @@
     if (this.ready > 0) this.options.onReady()
   }
 
-  /** Starts nothing more and lets go once what runs has ended. Aborts it first where `abort` says so. */
+  /** Starts no more items, and releases the chunk once the running ones have ended. `abort` aborts them first. */
   async release ({ abort = false } = {}): Promise<void> {
     if (this.state === 'ended') return
     this.state = 'releasing'
@@ -154,7 +158,7 @@
     this.requeue({ ...pending, attempts: plan.attempts, avoid, tokens: tokens ?? pending.tokens }, plan.pause)
   }
 
-  /** Given back while letting go: a started mark is taken away, because the item is known not to have run. */
+  /** Removes the started mark of an item that is given back during the release, since it is known not to have run. */
   private takeBackWhileReleasing ({ item }: Pending): void {
     if (this.state === 'releasing' && this.options.items[item]!.idempotent === false) void this.writer.add({ type: 'not started', item })
     this.step()
@@ -169,7 +173,10 @@
     })
   }
 
-  /** Records without waiting for more once nothing is left to run, and lets go where that is asked for. */
+  /**
+   * Once no item runs: writes the results at once if every item has one, and otherwise releases the chunk if
+   * requested.
+   */
   private step (): void {
     if (this.state === 'ended' || this.running.size > 0) return
     if (this.unrecorded.size === 0) this.writer.flush()
--- a/src/batch/held-chunks.ts
+++ b/src/batch/held-chunks.ts
@@ -1,6 +1,6 @@
 import type { HeldChunk } from './held-chunk.js'
 
-/** The chunks that this daemon holds, by name. */
+/** The chunks held by this daemon, by name. */
 export class HeldChunks {
   private readonly chunks = new Map<string, HeldChunk>()
 
@@ -28,12 +28,12 @@
     return this.list().filter(held => held.options.job.id === job)
   }
 
-  /** Bytes of results that aren't known to be durable. */
+  /** Returns the size of the results that are not yet known to be durable. */
   countUnsavedBytes (): number {
     return this.list().reduce((sum, held) => sum + held.unsavedBytes, 0)
   }
 
-  /** Items of the service that could be taken now, or once they are marked. */
+  /** Returns the number of items of the service that can be taken now or once they are marked as started. */
   countReady (service: string): number {
     return this.listByService(service).reduce((sum, held) => sum + held.ready, 0)
   }
--- a/src/batch/holding-record.ts
+++ b/src/batch/holding-record.ts
@@ -10,12 +10,14 @@
 import type { StoreError } from '../store/store-error.js'
 import type { Holding } from './holding.js'
 
+/** ms from a write of the `holding` object until the lease expires. */
 const LEASE_LENGTH = 60_000
+/** ms between renewals of the lease. */
 const RENEW_PERIOD = 15_000
 
 /**
- * Keeps this daemon's `holding` object: what it holds, and until when others leave that alone. Nothing is claimed
- * before it is listed there, so that whoever finds this daemon dead finds all of its chunks with one read.
+ * Maintains this daemon's `holding` object, which lists its chunks and the end of its lease. A chunk is listed there
+ * before it is claimed, so that one read finds all chunks of a dead daemon.
  */
 @scoped(Lifecycle.ContainerScoped)
 export class HoldingRecord implements Part {
@@ -51,19 +53,22 @@
     return written
   }
 
-  /** Takes chunks out; the object follows with its next write, since a chunk that isn't held does no harm there. */
+  /**
+   * Removes chunks from the list. The object follows with its next write: a listed chunk that isn't held does no
+   * harm.
+   */
   remove (names: readonly string[]): void {
     for (const name of names) this.chunks.delete(name)
   }
 
-  /** Writes at once what is held now, as when the daemon ends. */
+  /** Writes the current list at once, for example before the daemon ends. */
   async write (): Promise<Result<void, StoreError>> {
     const write = this.writing.then(async () => await this.put())
     this.writing = write
     return await write
   }
 
-  /** After a conflict or a lost reply the object is read: only this daemon writes it, so its version is the one to use. */
+  /** After a conflict or a lost reply, reads the object and retries with its version: no other daemon writes to it. */
   private async put (): Promise<Result<void, StoreError>> {
     for (let tries = 0; ; tries++) {
       const holding: Holding = { started: this.incarnation.started, until: this.clock.date() + LEASE_LENGTH, chunks: [...this.chunks] }
--- a/src/batch/holding.ts
+++ b/src/batch/holding.ts
@@ -1,11 +1,11 @@
 /**
- * What one run of a daemon holds, in the object `holding/INSTANCE`. It is written before a chunk is claimed and
- * renewed while any is held, so that one read tells which chunks a dead daemon leaves behind.
+ * The chunks held by one run of a daemon, stored as `holding/INSTANCE`. Written before a chunk is claimed and renewed
+ * while any is held, so that one read shows which chunks a dead daemon has left.
  */
 export interface Holding {
-  /** Wall-clock ms at which the run of the daemon began. */
+  /** Wall-clock ms at which the run started. */
   readonly started: number
-  /** Wall-clock ms until which others leave its chunks alone. */
+  /** Wall-clock ms at which the lease expires. */
   readonly until: number
   /** Names of chunk objects. */
   readonly chunks: readonly string[]
--- a/src/batch/item-queue.ts
+++ b/src/batch/item-queue.ts
@@ -1,18 +1,18 @@
-/** What is known of an item between two runs. */
+/** An item that waits to be run, and the history of its earlier runs. */
 interface Pending {
   readonly item: number
   readonly attempts: number
   /** Servers that failed it. */
   readonly avoid: readonly string[]
-  /** Whether its started mark has been asked for. */
+  /** Whether its started mark has been requested. */
   readonly marked: boolean
-  /** Answer tokens of a run that gave way. */
+  /** Answer tokens of a run that was preempted. */
   readonly tokens?: readonly string[]
 }
 
 /**
- * The items of one held chunk that wait to be run. Non-idempotent ones wait apart until their started mark is
- * durable; what is marked and not taken is known not to have run.
+ * The items of a held chunk that wait to be run. Non-idempotent ones become ready only when their started mark is
+ * durable. An item that is marked but has not been taken has not run.
  */
 export class ItemQueue {
   private readonly ready: Pending[] = []
@@ -35,7 +35,10 @@
     return pending
   }
 
-  /** Items to mark as started; `put` makes them ready once their mark is durable. */
+  /**
+   * Removes up to `limit` items that are to be marked as started; `addMarked` makes them ready once their mark is
+   * durable.
+   */
   takeUnmarked (limit: number): readonly Pending[] {
     const taken = this.unmarked.splice(0, Math.max(0, limit)).map(pending => ({ ...pending, marked: true }))
     for (const { item } of taken) this.marked.add(item)
@@ -46,7 +49,7 @@
     this.ready.push(pending)
   }
 
-  /** Keeps an item aside; the function it gives back makes it ready, before all others where `front` says so. */
+  /** Holds an item back. The returned function makes it ready, ahead of all others if `front` is set. */
   delay (pending: Pending, { front = false } = {}): () => void {
     if (pending.marked) this.marked.add(pending.item)
     this.delayed.add(pending)
@@ -57,7 +60,7 @@
     }
   }
 
-  /** Items with a started mark that aren't running. */
+  /** Returns the items with a started mark that aren't running. */
   listMarked (): readonly number[] {
     return [...this.marked]
   }
--- a/src/batch/job-counter.ts
+++ b/src/batch/job-counter.ts
@@ -11,13 +11,14 @@
 import { listChunks } from './list-chunks.js'
 import { WorkIndex } from './work-index.js'
 
+/** Longest time in ms that counts wait for others to join their write. */
 const MAX_WAIT = 500
 
 interface Finished { readonly n: number, readonly counts: Counts }
 
 /**
- * Tells jobs of their closed chunks, all that close within half a second in one write. A job keeps counts by chunk,
- * so telling it twice, as after a lost reply or by two daemons, changes nothing.
+ * Adds the counts of closed chunks to their jobs, in one write for those closed within half a second. A job stores
+ * counts by chunk, so adding them twice, after a lost reply or by two daemons, changes nothing.
  */
 @scoped(Lifecycle.ContainerScoped)
 export class JobCounter {
@@ -30,7 +31,7 @@
     @inject(JobOutcomes) private readonly outcomes: JobOutcomes
   ) {}
 
-  /** Resolves once the job has the counts, or is there no more. */
+  /** Resolves once the job has the counts or no longer exists. */
   async add (job: string, n: number, { completed, failed, cancelled }: Counts): Promise<void> {
     const commit = this.commits.get(job) ?? this.createCommit(job)
     await commit.add({ n, counts: { completed, failed, cancelled } })
@@ -56,7 +57,7 @@
     return await this.removeWork(written.val)
   }
 
-  /** Takes the job out of the work of each service that has none left in it. */
+  /** Removes the job from the work index of each service that has no unfinished chunk in it. */
   private async removeWork (job: Job): Promise<Result<void, StoreError>> {
     const chunks = listChunks(job.services)
     for (const { service } of job.services) {
--- a/src/batch/job-finalizer.ts
+++ b/src/batch/job-finalizer.ts
@@ -12,13 +12,13 @@
 import { listChunks } from './list-chunks.js'
 import { WorkIndex } from './work-index.js'
 
-/** Time in ms for which the holders of a cancelled job's chunks may still record what had run. */
+/** ms for which holders of a cancelled job's chunks may still record results. */
 const HOLDER_GRACE = 10_000
 
 /**
- * Brings a cancelled job to its end: closes each chunk that isn't finished, so that its counts are final and no
- * holder that was paused or cut off can record in it, and gives the job the counts. Chunks that nobody had claimed
- * are created closed, because a claim that is on its way must fail. Any daemon may do it, also several at once.
+ * Ends a cancelled job: closes every unfinished chunk, so that its counts are final and no holder that was paused or
+ * disconnected can record in it, and adds the counts to the job. Unclaimed chunks are created closed, so that a claim
+ * in progress fails. Several daemons may do this at the same time.
  */
 @scoped(Lifecycle.ContainerScoped)
 export class JobFinalizer {
@@ -31,7 +31,7 @@
     @inject(JobOutcomes) private readonly outcomes: JobOutcomes
   ) {}
 
-  /** One pass; says whether the job has come to its end. */
+  /** Makes one pass; returns whether the job has ended. */
   async finalize (job: Job): Promise<boolean> {
     const closed = new Map<number, Counts>()
     for (const { n, items } of listChunks(job.services)) {
@@ -49,7 +49,7 @@
     return true
   }
 
-  /** The final counts of the chunk, or nothing where it has to be tried again. */
+  /** Returns the final counts of the chunk, or undefined if it has to be tried again. */
   private async close (job: Job, n: number, items: number): Promise<Counts | undefined> {
     const name = `${job.id}.${n}`
     const read = await this.store.get<Chunk>('chunk', name)
--- a/src/batch/job-outcomes.ts
+++ b/src/batch/job-outcomes.ts
@@ -8,13 +8,13 @@
 import { HoldingRecord } from './holding-record.js'
 import type { Job } from './job.js'
 
-/** Jobs that are remembered as counted; a job is met again only until it is out of every listing of work. */
+/** Limits the set of counted jobs. A job is read again only until it is out of the work index. */
 const MAX_COUNTED = 10_000
 
 /**
- * Counts each job that has ended once for the account, by its caller and first service: on time, late or cancelled.
- * The write that ends a job names the run that made it, and only that run counts it, once. Without the name a lost
- * reply leaves open whose write it was, and the job is counted by nobody or by two.
+ * Counts each ended job once for the account, by its caller and first service: on time, late or cancelled. The write
+ * that ends a job stores the run of the daemon that made it, and only that run counts the job. Without it a lost
+ * reply would leave open whose write took effect, and the job could be counted twice or not at all.
  */
 @scoped(Lifecycle.ContainerScoped)
 export class JobOutcomes {
@@ -27,13 +27,15 @@
     @inject(Timeline) private readonly timeline: Timeline
   ) {}
 
-  /** The job with the counts of closed chunks; where it ends with them, by this run. */
+  /**
+   * Returns the job with the counts of closed chunks added. If the job ends with them, `endedBy` is set to this run.
+   */
   apply (job: Job, closed: ReadonlyMap<number, Counts>): Job {
     const next = finishChunks(job, closed, this.clock.date())
     return next.ended === undefined || job.ended !== undefined ? next : { ...next, endedBy: this.holding.incarnation }
   }
 
-  /** To be called with a job as the platform has it. */
+  /** Counts the job if it has ended by this run. Expects the job as it is stored. */
   count ({ id, caller, services, status, due, ended, endedBy }: Job): void {
     const { instance, started } = this.holding.incarnation
     if (ended === undefined || endedBy?.instance !== instance || endedBy.started !== started || this.counted.has(id)) return
--- a/src/batch/job-routes.ts
+++ b/src/batch/job-routes.ts
@@ -21,9 +21,10 @@
 import { showJob } from './show-job.js'
 import { showList } from './show-list.js'
 
+/** Maximum size in bytes of a request body. */
 const BODY_LIMIT = 100_000
 
-/** Batch jobs in the OpenAI shapes. */
+/** Serves the OpenAI batches API. */
 @scoped(Lifecycle.ContainerScoped)
 export class JobRoutes implements Part {
   readonly extensions = ([
@@ -81,7 +82,9 @@
     sendJson(res, 200, showJob(job.val, this.clock.date()))
   }
 
-  /** Acknowledged once it is durable; in an outage of the platform it is refused, and may be sent again. */
+  /**
+   * Answers once the cancellation is durable. During an outage of the platform it is refused, and may be sent again.
+   */
   private async cancel (req: Request, res: Response, caller: string): Promise<void> {
     const job = await this.jobs.cancel(req.params.id!, caller)
     if (job.err) return sendStoreProblem(res, job.val)
--- a/src/batch/job-store.ts
+++ b/src/batch/job-store.ts
@@ -19,15 +19,15 @@
 import { WorkIndex } from './work-index.js'
 
 interface JobOptions {
-  /** What the caller names the job by; the same key is the same job. */
+  /** Identifies the job among those of its caller; the same key gives the same job. */
   readonly key: string
   readonly endpoint: string
-  /** Time from acceptance until it is due, in ms. */
+  /** Time in ms from acceptance until it is due. */
   readonly window: number
   readonly metadata?: Readonly<Record<string, string>>
 }
 
-/** Jobs in the platform's objects. */
+/** Stores jobs as objects of the platform. */
 @scoped(Lifecycle.ContainerScoped)
 export class JobStore {
   constructor (
@@ -41,11 +41,11 @@
   ) {}
 
   /**
-   * Creates a job under an id that follows from caller and key, so that a job sent again is the same job, through
-   * whichever daemon. It is acknowledged only once those who look for work can find it; if this daemon dies before
-   * that, the same job sent again goes on from where it got to. `created` is true for one of them all.
+   * Creates a job under an id derived from its caller and key, so that a repeated request gives the same job through
+   * any daemon. Returns `Ok` only once the job is in the work index; if this daemon crashes before that, a repeated
+   * request completes the rest. `created` is true for at most one of the requests.
    *
-   * The file is read again after it is known to be in use: a clean-up that did not see the use has removed it by then.
+   * The file is read after its use has been recorded, to find out whether the clean-up has removed it before.
    */
   async create (file: BatchFile, { key, endpoint, window, metadata }: JobOptions): Promise<Result<{ readonly job: Job, readonly created: boolean }, StoreError>> {
     const created = this.clock.date()
@@ -63,7 +63,7 @@
     return listed.map(() => ({ job: stored.val, created: stored.val.acceptance === acceptance }))
   }
 
-  /** Makes the job known to those who look for work, to its caller's listing and to the clean-up. */
+  /** Adds the job to the work index, the expiry index and the index of its caller. */
   private async addToIndexes (job: Job): Promise<Result<void, StoreError>> {
     const added = job.ended === undefined ? await this.work.add(job) : Ok(undefined)
     if (added.err) return added
@@ -75,14 +75,14 @@
     return (await this.store.get<Job>('job', id, priority)).map(({ value }) => value)
   }
 
-  /** Applies `change`, which may be called more than once, and gives back the job as it then is. */
+  /** Applies `change`, which may be called more than once, and returns the resulting job. */
   async update (id: string, change: (job: Job) => Job, priority: CallPriority = 'background'): Promise<Result<Job, StoreError>> {
     return await updateObject<Job>(this.store, 'job', id, { change, priority })
   }
 
   /**
-   * Cancels a caller's job, and gives it back as it then is. Once this is `Ok` the cancelling is durable, and every
-   * holder's next look finds it; sent again, it does again whatever was left half done.
+   * Cancels a caller's job and returns the resulting job. `Ok` means that the cancellation is durable and that each
+   * holder sees it with its next check. A repeated request completes one that failed halfway.
    */
   async cancel (id: string, caller: string): Promise<Result<Job, StoreError>> {
     const date = this.clock.date()
@@ -91,10 +91,10 @@
     if (job.val.caller !== caller) return Err({ type: 'missing' })
     if (job.val.status !== 'cancelling') return job
     const listed = await this.cancelled.add(id)
-    return listed.ok ? job : Err({ type: 'unknown', reason: 'the job is cancelled, but holders may hear of it late' })
+    return listed.ok ? job : Err({ type: 'unknown', reason: 'the job is cancelled, but its holders may notice late' })
   }
 
-  /** A page of the caller's jobs, newest first, and whether there are more. */
+  /** Returns a page of the caller's jobs, newest first, and whether there are more. */
   async list (caller: string, { after, limit }: { readonly after?: Job, readonly limit: number }): Promise<Result<{ readonly jobs: readonly Job[], readonly more: boolean }, StoreError>> {
     const ids = await this.index.list('job', caller, { after, limit })
     if (ids.err) return ids
--- a/src/batch/job-supervisor.ts
+++ b/src/batch/job-supervisor.ts
@@ -17,19 +17,27 @@
 import { JobWatch } from './job-watch.js'
 import { ClaimRecovery } from './claim-recovery.js'
 
+/** ms between checks for dead daemons. */
 const RECOVERY_PERIOD = 1_000
+/** ms between attempts to finalize a cancelled job. */
 const FINALIZE_PERIOD = 1_000
-/** ms between two looks for holders that nobody remembers. */
+/** ms between checks for holders that aren't members. */
 const HOLDER_CHECK_PERIOD = 4_000
-/** ms in which chunks that are let go are announced together. */
+/** ms during which released chunks are collected for one notification. */
 const FREED_NOTICE_DELAY = 100
-/** Daemons that hear of chunks let go: enough that some have room, and few beside 380 that would all read at once. */
+/**
+ * Daemons notified of released chunks: enough that some have capacity, few enough that not all of a large fleet read
+ * at once.
+ */
 const MAX_FREED_RECIPIENTS = 16
 const CANCELLED = 'batch cancelled'
 const SUBMITTED = 'batch submitted'
 const FREED = 'batch freed'
 
-/** Speeds up by peer messages what the platform's objects make safe, and looks after what dead daemons left. */
+/**
+ * Notifies other daemons of submitted, cancelled and freed work, finalizes cancelled jobs and recovers the claims of
+ * dead daemons. Messages may be lost: they only make others act sooner than their periodic checks.
+ */
 @scoped(Lifecycle.ContainerScoped)
 export class JobSupervisor implements Part {
   readonly extensions = [
@@ -40,7 +48,7 @@
 
   private readonly finalizing = new Set<string>()
   private knownMembers: readonly string[] = []
-  /** Holders that were no members at the last look. */
+  /** Holders that weren't members at the last check. */
   private unknownHolders: readonly string[] = []
   private nextHolderCheck = 0
   private freedNoticeScheduled = false
@@ -69,21 +77,22 @@
     this.cancelTimer()
   }
 
-  /** Tells every daemon to look at the job now, and brings it to its end. */
+  /** Notifies every daemon that the job has been cancelled, and starts finalizing it. */
   announceCancel (job: string): void {
     this.sendToAll({ type: CANCELLED, job })
     void this.watch.check(job)
   }
 
-  /** Tells every daemon that there is work for these services. */
+  /** Notifies every daemon that there is work for these services. */
   announceSubmit (services: readonly string[]): void {
     this.sendToAll({ type: SUBMITTED, services })
     this.source.searchAgain(services)
   }
 
   /**
-   * Tells some daemons that there are chunks to claim. They had found them held and left them alone, for 5 s and up to a
-   * minute in a large fleet; the symptom is a job that stands still after an orderly shutdown for longer than after a kill.
+   * Notifies some daemons that there are chunks to claim. Having found these held, they would skip them for several
+   * seconds, or up to a minute in a large fleet, and a job would wait longer after an orderly shutdown than after a
+   * crash.
    */
   private announceFreed (chunk: string): void {
     if (this.freedNoticeScheduled) return
@@ -110,7 +119,7 @@
     if (Array.isArray(services)) this.source.searchAgain(services.filter(service => typeof service === 'string'))
   }
 
-  /** Goes on until the job has ended. Others that do the same get in nobody's way, but the first in rank is enough. */
+  /** Runs until the job has ended. Other daemons may do the same at the same time. */
   private async finalizeCancelled (id: string): Promise<void> {
     if (this.finalizing.has(id)) return
     this.finalizing.add(id)
@@ -133,9 +142,9 @@
   }
 
   /**
-   * Frees what daemons hold that died before this one had heard of them, as when they had just started or this one
-   * has. Remembered members alone miss them, and a job stands still until their lease ends. One daemon of the fleet
-   * lists the holders; who is missing at two looks in turn isn't merely late in becoming known.
+   * Frees the chunks of daemons that crashed before this one had them as members, for example because either had just
+   * started. Otherwise their jobs would wait until the lease expires. One daemon of the fleet lists the holders. Only
+   * those missing in two checks in a row are recovered, since a new daemon may not be a member yet.
    */
   private async recoverUnknownHolders (): Promise<void> {
     if (!this.isResponsible('holdings') || this.clock.now() < this.nextHolderCheck) return
--- a/src/batch/job-watch.ts
+++ b/src/batch/job-watch.ts
@@ -10,9 +10,10 @@
 import { JobStore } from './job-store.js'
 import { mayStart } from '../coordination/may-start.js'
 
+/** ms between checks of all jobs. */
 const READ_PERIOD = 2_000
 
-/** Looks at the jobs that this daemon holds chunks of, and tells when one has been cancelled. */
+/** Checks whether the jobs of held chunks are still in progress, and notifies listeners when one no longer is. */
 @scoped(Lifecycle.ContainerScoped)
 export class JobWatch implements Part {
   private readonly lastReads = new Map<string, LastRead>()
@@ -41,7 +42,7 @@
     this.cancelTimer()
   }
 
-  /** `listener` hears of each job that goes on no longer. */
+  /** Calls `listener` with each job that is no longer in progress. */
   subscribe (listener: (job: string) => void): void {
     this.listeners.add(listener)
   }
@@ -54,7 +55,7 @@
     return this.lastReads.has(job)
   }
 
-  /** Whether items of the job may start now. */
+  /** Returns whether items of the job may start now. */
   mayStart (job: string): boolean {
     this.pauses.check()
     const check = this.lastReads.get(job)
@@ -62,9 +63,9 @@
   }
 
   /**
-   * Looks at the job now, and from here on until it is removed; gives it back if it goes on. A look that a pause fell into
-   * is repeated. Its answer may be from before the pause; kept, and followed by a look that fails, it passed for one from
-   * before an outage, and the items of a job cancelled meanwhile went on for the 60 s that an outage is granted.
+   * Reads the job now, and checks it until it is removed; returns it if it is in progress. A read during which the
+   * process was paused is repeated, because its result may predate the pause. Kept, and followed by a failed read, it
+   * would look like the beginning of an outage, and items of a job cancelled meanwhile would start for another 60 s.
    */
   async check (job: string): Promise<Job | undefined> {
     const { count } = this.pauses
@@ -85,7 +86,7 @@
     return undefined
   }
 
-  /** Asks for what was cancelled of late, once for all jobs, and looks at those that are named or aren't known. */
+  /** Lists recent cancellations once for all jobs, and reads the jobs that are listed or whose state is unknown. */
   private async checkAll (): Promise<void> {
     this.pauses.check()
     if (this.lastReads.size === 0) return
--- a/src/batch/job.ts
+++ b/src/batch/job.ts
@@ -1,7 +1,7 @@
 import type { Counts } from './counts.js'
 import type { ServiceChunks } from './service-chunks.js'
 
-/** A batch job as the platform keeps it, in the object `job/ID`. */
+/** A batch job, stored as `job/ID`. */
 export interface Job {
   readonly id: string
   readonly caller: string
@@ -11,20 +11,20 @@
   readonly created: number
   readonly due: number
   readonly items: number
-  /** Its chunks, each of one service, in the order of their numbers. */
+  /** Chunks by service; chunk numbers count through all services in this order. */
   readonly services: readonly ServiceChunks[]
   readonly status: 'in_progress' | 'completed' | 'cancelling' | 'cancelled'
-  /** Wall-clock ms at which its cancelling was accepted. */
+  /** Wall-clock ms at which its cancellation was accepted. */
   readonly cancelled?: number
   /** Counts of each finished chunk, by its number. */
   readonly finished: Readonly<Record<string, Counts>>
   /** Wall-clock ms at which its last item ended. */
   readonly ended?: number
-  /** The run of a daemon that ended it, which counts it for the account. */
+  /** The run of a daemon that recorded the end of the job, and counts the job for the account. */
   readonly endedBy?: { readonly instance: string, readonly started: number }
-  /** Wall-clock ms at which its results had first been read whole. */
+  /** Wall-clock ms at which its results were first read completely. */
   readonly read?: number
-  /** Names the request that created it, so that a lost reply doesn't count its items twice. */
+  /** Identifies the request that created the job, so that its items are counted once even after a lost reply. */
   readonly acceptance: string
   readonly metadata?: Readonly<Record<string, string>>
 }
--- a/src/batch/limit-result.ts
+++ b/src/batch/limit-result.ts
@@ -1,9 +1,9 @@
 import type { ItemResult } from './item-result.js'
 
-/** A result and the batch of writes it goes with have to fit the platform's 1 MB a value. */
+/** A result and the entries written with it must fit into the 1 MB that the platform allows for a value. */
 const MAX_RESULT_BYTES = 400_000
 
-/** The result, or a failure that says so where it is too large to be kept. */
+/** Returns the result, or a failure if the result is too large to be stored. */
 export function limitResult (result: ItemResult): ItemResult {
   const bytes = Buffer.byteLength(JSON.stringify(result))
   if (bytes <= MAX_RESULT_BYTES) return result
--- a/src/batch/list-recorded.ts
+++ b/src/batch/list-recorded.ts
@@ -1,6 +1,6 @@
 import type { Chunk } from './chunk.js'
 
-/** Places of the items that have a recorded result. */
+/** Returns the indexes of the items that have a recorded result. */
 export function listRecorded ({ results, parts }: Chunk): ReadonlySet<number> {
   return new Set([...Object.keys(results).map(Number), ...parts.flatMap(({ items }) => items)])
 }
--- a/src/batch/order-jobs.ts
+++ b/src/batch/order-jobs.ts
@@ -1,24 +1,23 @@
 import type { WorkEntry } from './work-entry.js'
 
-/** Time in ms kept in hand when judging whether a job still makes its due time. */
+/** Safety margin in ms for deciding whether a job makes its due time. */
 const SLACK = 600_000
 
 interface OrderOptions {
   /** Wall-clock ms. */
   readonly date: number
-  /** Weight of a caller's share. */
+  /** Weight of the caller's share. */
   readonly share: (caller: string) => number
-  /** Items that a caller, or a job, got recently. */
+  /** Items that a caller or a job got recently. */
   readonly used: (callerOrJob: string) => number
-  /** Ms that the items of a job need, at the pace of late. */
+  /** Estimated time in ms that the items of a job still need. */
   readonly estimate: (entry: WorkEntry) => number
 }
 
 /**
- * Open jobs in the order in which to take work from them. Those that would miss their due time go first, the
- * earliest due before the others. Among the rest each caller gets its share: first the caller that got least for its
- * weight, and of its jobs first the one that got least, so that neither a caller with many jobs nor a job of 98,000
- * items keeps small ones waiting.
+ * Orders open jobs for taking work from them. Jobs that would miss their due time come first, by due time. The others
+ * follow by fair share: first those of the caller that got least for its weight, and among these the job that got
+ * least, so that neither a caller with many jobs nor a very large job delays small ones.
  */
 export function orderJobs (entries: readonly WorkEntry[], { date, share, used, estimate }: OrderOptions): readonly WorkEntry[] {
   const rated = entries.map(entry => ({
--- a/src/batch/plain-runner.ts
+++ b/src/batch/plain-runner.ts
@@ -7,10 +7,12 @@
 import { DispatchedItemRunner } from '../ownership/dispatched-item-runner.js'
 import { ChunkSource } from './chunk-source.js'
 
+/** Items of a service that run at once. */
 const CONCURRENCY = 8
+/** ms between announcements of the demand to the source. */
 const DEMAND_PERIOD = 500
 
-/** Runs the batch items of plain services through the dispatcher, a fixed number at once; models are the owners' to run. */
+/** Runs the batch items of plain services through the dispatcher. Those of models are run by the owners of servers. */
 @scoped(Lifecycle.ContainerScoped)
 export class PlainRunner implements Part {
   private readonly running = new Map<string, number>()
--- a/src/batch/plan-retry.ts
+++ b/src/batch/plan-retry.ts
@@ -1,12 +1,13 @@
 import type { BatchWork } from '../ownership/batch-work.js'
 import type { ItemResult } from './item-result.js'
 
-/** Attempts of an item that servers failed, after which it ends as failed. */
+/** Failed attempts after which an item fails. */
 const MAX_ATTEMPTS = 5
+/** Pause in ms after the first failed attempt; it doubles with each further one up to `MAX_PAUSE`. */
 const FIRST_PAUSE = 200
 const MAX_PAUSE = 5_000
 
-/** What becomes of an item that was given back. `attempts` is how many have failed, this one with them. */
+/** What happens to an item that was given back. `attempts` counts its failed attempts so far. */
 type RetryPlan =
   | { readonly type: 'again', readonly pause: number, readonly attempts: number }
   | { readonly type: 'finish', readonly result: ItemResult }
@@ -15,15 +16,15 @@
   readonly why: Parameters<BatchWork['giveBack']>[0]
   readonly ran: boolean
   readonly idempotent: boolean
-  /** Attempts that had failed before. */
+  /** Earlier failed attempts. */
   readonly attempts: number
   readonly server: string
 }
 
 /**
- * Decides about an item that was given back. Giving way to online requests isn't an attempt, nor is a run that was
- * aborted, so that neither load nor a restart ever makes an item fail. A non-idempotent item that may have run is
- * over: its fate isn't known, and a second run is what must not happen.
+ * Decides what happens to an item that was given back. Preempted and aborted runs don't count as attempts, so that
+ * neither load nor a restart makes an item fail. A non-idempotent item that may have run fails as unknown, because it
+ * must not run twice.
  */
 export function planRetry ({ why, ran, idempotent, attempts, server }: ReturnedItem): RetryPlan {
   if (ran && !idempotent) return finish('unknown', `it may have run at ${server}; it is not to be repeated`)
--- a/src/batch/plan-search-pause.ts
+++ b/src/batch/plan-search-pause.ts
@@ -1,12 +1,14 @@
+/** Shortest pause in ms. */
 const MIN_PAUSE = 1_000
+/** Longest pause in ms. */
 const MAX_PAUSE = 60_000
-/** ms by which each daemon of the fleet lengthens the pause: with 200 ms the fleet looks 5 times a second in all. */
+/** ms of pause for each daemon of the fleet; all daemons together search about 5 times a second. */
 const PAUSE_PER_DAEMON = 200
 
 /**
- * How long in ms a daemon that found no work for a service waits before it looks again. Submitted and freed work is told
- * by peer frames; looking again is only for what they missed. Without the factor for the fleet 380 idle daemons would
- * make 380 listings a second for each service.
+ * Returns the time in ms that a daemon that found no work for a service waits before it searches again. Peer messages
+ * announce submitted and freed work; the search finds what they missed. The pause grows with the fleet to bound the
+ * listings of all idle daemons together.
  */
 export function planSearchPause (daemons: number): number {
   return Math.min(MAX_PAUSE, Math.max(MIN_PAUSE, daemons * PAUSE_PER_DAEMON))
--- a/src/batch/read-form-file.ts
+++ b/src/batch/read-form-file.ts
@@ -1,4 +1,4 @@
-/** The file of a multipart form, if the body holds one. */
+/** Returns the file of a multipart form, or undefined if the body has none. */
 export async function readFormFile (type: string, body: Buffer): Promise<{ readonly name: string, readonly content: string } | undefined> {
   try {
     const form = await new globalThis.Response(new Uint8Array(body), { headers: { 'content-type': type } }).formData()
--- a/src/batch/read-items.ts
+++ b/src/batch/read-items.ts
@@ -6,12 +6,12 @@
 const MAX_LINE_BYTES = 200_000
 const MAX_ID_LENGTH = 256
 
-/** One thing wrong in a batch file. */
+/** An error in a line of a batch file. */
 interface LineFinding { readonly line: number, readonly message: string }
 
 /**
- * Reads a batch file, one JSON object a line. All findings come together, the first 100 of them, each with its
- * line. `check` says what else is wrong with an item, if anything.
+ * Parses a batch file with one JSON object a line. Returns the items, or the first 100 errors, each with its line.
+ * `check` returns an error message for an item that is invalid for another reason.
  */
 export function readItems (text: string, check: (item: Item) => string | undefined = () => undefined): Result<readonly Item[], readonly LineFinding[]> {
   const items: Item[] = []
--- a/src/batch/read-job-request.ts
+++ b/src/batch/read-job-request.ts
@@ -8,12 +8,12 @@
 interface JobRequest {
   readonly file: string
   readonly endpoint: string
-  /** Time until it is due, in ms. */
+  /** Time in ms until the job is due. */
   readonly window: number
   readonly metadata?: Readonly<Record<string, string>>
 }
 
-/** Reads the body of a request for a job, or says everything that is wrong with it. */
+/** Parses the body of a request for a job, or returns all errors in it. */
 export function readJobRequest (body: Buffer): Result<JobRequest, readonly string[]> {
   const value = readObject(body)
   if (value === undefined) return Err(['the body must be a JSON object'])
--- a/src/batch/read-page.ts
+++ b/src/batch/read-page.ts
@@ -1,7 +1,7 @@
 const DEFAULT_LIMIT = 20
 const MAX_LIMIT = 100
 
-/** What a listing asks for: the id after which to go on, and how many at most. */
+/** Parses the query of a listing: the id after which the page begins, and its maximum length. */
 export function readPage (query: Readonly<Record<string, unknown>>): { readonly after?: string, readonly limit: number } {
   const limit = Number(query.limit ?? DEFAULT_LIMIT)
   return {
--- a/src/batch/read-results.ts
+++ b/src/batch/read-results.ts
@@ -4,7 +4,7 @@
 import type { Chunk } from './chunk.js'
 import type { ItemResult } from './item-result.js'
 
-/** All recorded results of a chunk by the item's place, those in parts among them. */
+/** Reads all recorded results of a chunk, including those in parts, by the index of the item. */
 export async function readResults (store: ObjectStore, chunk: Chunk): Promise<Result<Readonly<Record<string, ItemResult>>, StoreError>> {
   let all: Readonly<Record<string, ItemResult>> = {}
   for (const { name } of chunk.parts) {
--- a/src/batch/read-upload.ts
+++ b/src/batch/read-upload.ts
@@ -4,7 +4,7 @@
 import type { Item } from './item.js'
 import { readItems } from './read-items.js'
 
-/** Reads a batch file and sorts its items by the service they are for; each says whether it may be repeated. */
+/** Parses a batch file and groups its items by service. Sets `idempotent` of each item. */
 export function readUpload (text: string, services: Readonly<Record<string, Service>>): Result<ReadonlyMap<string, readonly Item[]>, readonly { readonly line: number, readonly message: string }[]> {
   const read = readItems(text, item => {
     const found = findService(item, services)
--- a/src/batch/recent-usage.ts
+++ b/src/batch/recent-usage.ts
@@ -1,6 +1,7 @@
+/** Time in ms in which a count halves. */
 const HALF_LIFE = 600_000
 
-/** How much callers and jobs got of late: counts that halve every ten minutes. */
+/** Recent usage by callers and jobs, as counts that halve every ten minutes. */
 export class RecentUsage {
   private readonly counts = new Map<string, { readonly value: number, readonly at: number }>()
 
@@ -13,7 +14,7 @@
     return count === undefined ? 0 : count.value * 0.5 ** ((now - count.at) / HALF_LIFE)
   }
 
-  /** Forgets what has decayed to nothing. */
+  /** Removes counts that have decayed to less than 1. */
   prune (now: number): void {
     for (const name of this.counts.keys()) if (this.get(name, now) < 1) this.counts.delete(name)
   }
--- a/src/batch/record-entries.ts
+++ b/src/batch/record-entries.ts
@@ -7,9 +7,9 @@
 import { listRecorded } from './list-recorded.js'
 
 /**
- * The chunk with `entries` recorded by `by`. The first recorded result of an item stands. Without the first-wins
- * rule a holder that was paused past its claim overwrites what its successor recorded, and its caller reads two
- * different results; with it, late results fill only what is still open. Marks count only from the holder itself.
+ * Returns the chunk with `entries` of `by` recorded. The first recorded result of an item wins: otherwise a holder
+ * that was paused beyond its claim could overwrite the results of its successor, and a caller would read two
+ * different results. Started marks and releases are applied only if they come from the holder.
  */
 export function recordEntries (chunk: Chunk, entries: readonly ChunkEntry[], { items, by }: { readonly items: number, readonly by: Incarnation }): Chunk {
   if (chunk.closed !== undefined) return chunk
--- a/src/batch/result-part.ts
+++ b/src/batch/result-part.ts
@@ -1,4 +1,4 @@
-/** Results in an object `part/NAME` of their own, which is created once and never changed. */
+/** Results in an object of their own, `part/NAME`, which is created once and never changed. */
 export interface ResultPart {
   readonly name: string
   readonly items: readonly number[]
--- a/src/batch/result-reader.ts
+++ b/src/batch/result-reader.ts
@@ -12,14 +12,15 @@
 import { showResult } from './show-result.js'
 
 const MAX_TRIES = 3
+/** ms between attempts to read a chunk. */
 const RETRY_PAUSE = 500
 
 const cancelledItem: ItemResult = { type: 'failed', cause: 'cancelled', detail: 'the job was cancelled before it was run' }
 
 /**
- * The recorded results of a job as lines, a chunk at a time, in the order of the chunks and of the items in them.
- * A result never changes once recorded, so what one read gave every later one gives, to the byte. Throws where the
- * platform doesn't answer: the reader must not take a part for the whole.
+ * Reads the recorded results of a job as lines, chunk by chunk, in the order of the items. Recorded results never
+ * change, so repeated reads give identical bytes. Throws if the platform doesn't answer, so that a partial result is
+ * not taken for the whole.
  */
 @scoped(Lifecycle.ContainerScoped)
 export class ResultReader {
@@ -29,7 +30,7 @@
     @inject(tokens.clock) private readonly clock: Clock
   ) {}
 
-  /** `output` gives what completed, `errors` what failed or was cancelled. */
+  /** `output` yields the completed items, `errors` the failed and cancelled ones. */
   async * read (job: Job, which: 'output' | 'errors'): AsyncGenerator<string> {
     for (const { n } of listChunks(job.services)) yield await this.retry(async () => await this.readChunk(job, n, which))
   }
@@ -54,6 +55,6 @@
       if (lines !== undefined) return lines
       await pauseFor(this.clock, RETRY_PAUSE)
     }
-    throw new Error('the platform did not answer')
+    throw new Error('reading results failed: the platform did not answer')
   }
 }
--- a/src/batch/result-spool.ts
+++ b/src/batch/result-spool.ts
@@ -18,15 +18,16 @@
 import type { SpoolEntry } from './spool-entry.js'
 import { updateObject } from './update-object.js'
 
+/** ms between checks for unsaved results, and between attempts to record spooled ones. */
 const PERIOD = 2_000
-/** Results are written to the platform within 5 s; what waits for longer waits because it doesn't answer. */
+/** ms after which an unsaved result is spooled. Results are stored within 5 s unless the platform is unavailable. */
 const SPOOL_DELAY = 8_000
 const FILE = 'batch-results.spool'
 
 /**
- * Keeps results on disk, where the instance has one, while the platform doesn't take them. A daemon that is
- * replaced in an outage would lose what its items answered, and they would run once more; its next run records
- * them from the file instead. First recorded wins, so a file that is read late, or twice, does no harm.
+ * Writes results to disk, where the instance has one, while the platform is unavailable. Otherwise a daemon that is
+ * replaced during an outage would lose them, and their items would run again; with the file, its next run records
+ * them. The first recorded result wins, so a file that is read late, or twice, does no harm.
  */
 @scoped(Lifecycle.ContainerScoped)
 export class ResultSpool implements Part {
@@ -51,7 +52,7 @@
   async start (): Promise<void> {
     if (this.file === undefined) return
     const { entries, torn } = decodeSpool(readText(this.file))
-    if (torn > 0) this.log.write('warn', 'batch', 'left out torn lines of the spool file', { lines: torn })
+    if (torn > 0) this.log.write('warn', 'batch', 'skipped invalid lines of the spool file', { lines: torn })
     void this.recover(entries)
   }
 
@@ -59,7 +60,7 @@
     this.cancelTimer()
   }
 
-  /** Records what the run before had left, for as long as it takes, and only then spools anew. */
+  /** Records the results that the previous run left, retrying until all are stored, and only then starts to spool. */
   private async recover (entries: readonly SpoolEntry[]): Promise<void> {
     for (const entry of entries) while (!await this.record(entry)) await this.wait()
     if (entries.length > 0) this.log.write('info', 'batch', 'recorded results from the spool file', { results: entries.length })
--- a/src/batch/send-lines.ts
+++ b/src/batch/send-lines.ts
@@ -4,15 +4,15 @@
 import { sendStoreProblem } from './send-store-problem.js'
 
 /**
- * Sends lines as fast as they are read, and says whether all were. An answer that fails on its way ends its connection,
- * so that nobody takes a part for the whole. One that fails before anything was sent is refused with when to come
- * back: with its head sent first, the caller saw a lost connection and couldn't tell an outage from its own network.
+ * Sends lines as they are read; returns whether all were sent. An error after the first line destroys the connection,
+ * so that the caller doesn't take a partial response for the whole. An error before it is answered with status 503:
+ * had the headers been sent already, the caller couldn't tell an outage from a network error.
  */
 export async function sendLines (res: ServerResponse, lines: AsyncIterable<string>): Promise<boolean> {
   const iterator = lines[Symbol.asyncIterator]()
   const first = await iterator.next().catch(() => undefined)
   if (first === undefined) {
-    sendStoreProblem(res, { type: 'unavailable', reason: 'the first lines were not read' })
+    sendStoreProblem(res, { type: 'unavailable', reason: 'reading the first lines failed' })
     return false
   }
   res.writeHead(200, { 'content-type': 'application/jsonl' })
--- a/src/batch/service-chunks.ts
+++ b/src/batch/service-chunks.ts
@@ -1,6 +1,6 @@
-/** A run of chunks whose items are all of one service. */
+/** Consecutive chunks whose items are all of one service. */
 export interface ServiceChunks {
   readonly service: string
-  /** Items of each chunk, in the order of their numbers. */
+  /** Number of items of each chunk, in the order of the chunk numbers. */
   readonly sizes: readonly number[]
 }
--- a/src/batch/show-job.ts
+++ b/src/batch/show-job.ts
@@ -5,8 +5,8 @@
 const MS_PER_SECOND = 1_000
 
 /**
- * A job in the OpenAI shape. Beside it: `request_counts.cancelled`, and while it runs `estimated_completion_at` and
- * `late`, which says that it won't make its due time at the pace it has had. A late job isn't ended; it goes on.
+ * Formats a job in the OpenAI shape. Adds `request_counts.cancelled` and, while the job runs,
+ * `estimated_completion_at` and `late`: whether it will miss its due time at its pace so far. A late job isn't ended.
  */
 export function showJob (job: Job, date: number): unknown {
   const counts = addCounts(Object.values(job.finished))
--- a/src/batch/show-result.ts
+++ b/src/batch/show-result.ts
@@ -1,6 +1,6 @@
 import type { ItemResult } from './item-result.js'
 
-/** One line of a job's results in the OpenAI shape; `item` is the `custom_id`. */
+/** Formats one line of a job's results in the OpenAI shape; `item` is the `custom_id`. */
 export function showResult (job: string, item: string, result: ItemResult): unknown {
   const id = `${job}.${item}`
   switch (result.type) {
--- a/src/batch/spill-results.ts
+++ b/src/batch/spill-results.ts
@@ -5,13 +5,12 @@
 import type { Chunk } from './chunk.js'
 import type { ResultPart } from './result-part.js'
 
-/** With a batch of 500 KB on top, a chunk stays below the platform's 1 MB. */
+/** With up to 500 KB of new results, a chunk stays below the 1 MB that the platform allows for a value. */
 const MAX_INLINE_BYTES = 400_000
 
 /**
- * Moves the results of a chunk that has grown large into an object of their own. That object has a name nobody
- * else uses, and counts only once the chunk names it: a holder that dies in between leaves an object that nothing
- * refers to, and the clean-up of the job takes it.
+ * Moves the results of a large chunk into an object of their own. It has a unique name and counts only once the chunk
+ * refers to it: if the holder crashes before that, the object is removed with the job.
  */
 export async function spillResults (store: ObjectStore, name: string, chunk: Chunk): Promise<Result<Chunk, StoreError>> {
   if (Buffer.byteLength(JSON.stringify(chunk.results)) <= MAX_INLINE_BYTES) return Ok(chunk)
--- a/src/batch/spool-entry.ts
+++ b/src/batch/spool-entry.ts
@@ -1,11 +1,12 @@
 import type { ItemResult } from './item-result.js'
 
-/** A result that waits on disk for the platform. */
+/** A result that is stored on disk while the platform is unavailable. */
 export interface SpoolEntry {
-  /** Name of the chunk object, and how many items the chunk has. */
+  /** Name of the chunk object. */
   readonly chunk: string
+  /** Number of items in the chunk. */
   readonly items: number
-  /** The item's place in the chunk. */
+  /** Index of the item in the chunk. */
   readonly item: number
   readonly result: ItemResult
 }
--- a/src/batch/update-object.ts
+++ b/src/batch/update-object.ts
@@ -6,12 +6,12 @@
 const MAX_TRIES = 20
 
 interface UpdateOptions<T> {
-  /** Gives the same value back to leave the object alone; it is called again after a conflict. */
+  /** Returns the same value to leave the object unchanged. Called again after a conflict. */
   readonly change: (value: T) => T
   readonly priority?: CallPriority
 }
 
-/** Applies a change to an object until its conditional update wins, and gives back the object's value. */
+/** Applies a change until its conditional update succeeds, and returns the resulting value. */
 export async function updateObject<T> (store: ObjectStore, kind: string, name: string, { change, priority = 'background' }: UpdateOptions<T>): Promise<Result<T, StoreError>> {
   for (let tries = 0; tries < MAX_TRIES; tries++) {
     const read = await store.get<T>(kind, name, priority)
@@ -22,5 +22,5 @@
     if (written.ok) return Ok(next)
     if (written.val.type !== 'conflict') return written
   }
-  return Err({ type: 'unavailable', reason: 'others kept changing the object' })
+  return Err({ type: 'unavailable', reason: 'too many conflicting updates of the object' })
 }
--- a/src/batch/upload-budget.ts
+++ b/src/batch/upload-budget.ts
@@ -1,14 +1,14 @@
 /**
- * Bounds the memory of uploads: their bytes together stay below `limit`. A body is held whole while it is checked,
- * because nothing of a file is kept unless all of it is good; without the bound a few large uploads at once take the
- * daemon's memory, and every caller's requests with it. One that finds no room is refused at once.
+ * Bounds the memory of uploads: bodies in memory at once have at most `limit` bytes in total. A body is held whole
+ * while it is checked, since a file is stored completely or not at all. An upload that doesn't fit is refused at
+ * once; one that is larger than the limit fits only while there is no other.
  */
 export class UploadBudget {
   private used = 0
 
   constructor (private readonly limit: number) {}
 
-  /** Reserves room; the function it gives back frees it. Undefined when there is none. */
+  /** Reserves memory and returns a function that releases it, or undefined if there is not enough. */
   reserve (bytes: number): (() => void) | undefined {
     if (this.used > 0 && this.used + bytes > this.limit) return undefined
     this.used += bytes
--- a/src/batch/work-entry.ts
+++ b/src/batch/work-entry.ts
@@ -1,4 +1,4 @@
-/** An open job as those who look for work of one service see it, in an object `work/SERVICE~DUE~JOB`. */
+/** An open job in the work index of a service, stored as `work/SERVICE~DUE~JOB`. */
 export interface WorkEntry {
   readonly job: string
   readonly service: string
@@ -6,6 +6,6 @@
   /** Wall-clock ms. */
   readonly created: number
   readonly due: number
-  /** Items of the service in the job. */
+  /** Number of the job's items for the service. */
   readonly items: number
 }
--- a/src/batch/work-finder.ts
+++ b/src/batch/work-finder.ts
@@ -14,8 +14,11 @@
 import type { WorkEntry } from './work-entry.js'
 import { WorkIndex } from './work-index.js'
 
+/** ms for which a job or chunk is skipped after it could not be claimed. */
 const BUSY_PAUSE = 5_000
+/** Jobs read in one search. */
 const MAX_JOBS = 6
+/** Chunks of a job tried in one search. */
 const MAX_PROBES = 8
 
 type Place = ReturnType<typeof listChunks>[number]
@@ -24,9 +27,9 @@
 interface Candidate { readonly job: Job, readonly place: Place }
 
 /**
- * Finds chunks to claim, in the order of jobs. A look reads one page of the index, at most six jobs and eight chunks
- * of each; what turned out to be taken is left alone for five seconds, so that daemons without work don't wear the
- * platform out.
+ * Finds chunks to claim, in the order of jobs. A search reads one page of the index, at most `MAX_JOBS` jobs and
+ * `MAX_PROBES` chunks of each. Chunks that turn out to be held are skipped for `BUSY_PAUSE`, to limit the load of
+ * idle daemons on the platform.
  */
 @scoped(Lifecycle.ContainerScoped)
 export class WorkFinder {
@@ -48,12 +51,12 @@
     this.usage.add(job, 1, this.clock.now())
   }
 
-  /** Leaves a job or chunk alone for a while. */
+  /** Skips a job or chunk for `BUSY_PAUSE`. */
   markBusy (name: string): void {
     this.busy.set(name, this.clock.now() + BUSY_PAUSE)
   }
 
-  /** Tries again what was put aside: there is news of free chunks. */
+  /** Considers all jobs and chunks again, after an announcement of free chunks. */
   clearBusy (): void {
     this.busy.clear()
     this.remainingTimes.clear()
@@ -84,7 +87,10 @@
     })
   }
 
-  /** Open chunks, those first that fall to this daemon by hashing, so that daemons seldom try for the same one. */
+  /**
+   * Returns unfinished chunks, starting at one chosen by hashing for this daemon, so that daemons seldom try to claim
+   * the same one.
+   */
   private choosePlaces (job: Job, service: string, held: HeldChunks): readonly Place[] {
     const open = listChunks(job.services).filter(place => {
       const name = `${job.id}.${place.n}`
--- a/src/batch/work-index.ts
+++ b/src/batch/work-index.ts
@@ -11,8 +11,8 @@
 const TIME_DIGITS = 13
 
 /**
- * The open jobs of each service, in the order of their due times. One small object a job and service, under a name
- * that sorts them: the most pressing 500 are one read, and adding one conflicts with nobody.
+ * Indexes the open jobs of each service by due time. Each pair of job and service has one small object whose name
+ * gives the order: the 500 with the earliest due times are one listing, and additions never conflict.
  */
 @scoped(Lifecycle.ContainerScoped)
 export class WorkIndex {
@@ -33,7 +33,7 @@
     return found.map(entries => entries.map(({ value }) => value))
   }
 
-  /** Takes out a job that has no more work for the service. */
+  /** Removes a job that has no more work for the service. */
   async remove (entry: Pick<WorkEntry, 'job' | 'service' | 'due'>): Promise<Result<void, StoreError>> {
     const read = await this.store.get('work', formatName(entry))
     if (read.err) return read.val.type === 'missing' ? Ok(undefined) : Err(read.val)
