--- a/src/batch/job-watch.ts
+++ b/src/batch/job-watch.ts
@@ -58,8 +58,8 @@
   /** Returns whether items of the job may start now. */
   mayStart (job: string): boolean {
     this.pauses.check()
-    const check = this.lastReads.get(job)
-    return check !== undefined && mayStart(check, this.clock.now())
+    const lastRead = this.lastReads.get(job)
+    return lastRead !== undefined && mayStart(lastRead, this.clock.now())
   }
 
   /**
@@ -93,10 +93,10 @@
     const seen = this.clock.now()
     const cancelled = await this.cancelled.list()
     this.pauses.check()
-    for (const [job, check] of [...this.lastReads]) {
-      if (cancelled.err) this.lastReads.set(job, { ...check, unreachable: cancelled.val.type === 'unavailable' })
-      else if (cancelled.val.full || cancelled.val.jobs.has(job) || check.seen === undefined) void this.check(job)
-      else this.lastReads.set(job, { seen: Math.max(seen, check.seen), unreachable: false })
+    for (const [job, lastRead] of [...this.lastReads]) {
+      if (cancelled.err) this.lastReads.set(job, { ...lastRead, unreachable: cancelled.val.type === 'unavailable' })
+      else if (cancelled.val.full || cancelled.val.jobs.has(job) || lastRead.seen === undefined) void this.check(job)
+      else this.lastReads.set(job, { seen: Math.max(seen, lastRead.seen), unreachable: false })
     }
   }
 }
--- a/src/batch/read-job-request.ts
+++ b/src/batch/read-job-request.ts
@@ -41,5 +41,5 @@
 
 function isMetadata (value: unknown): boolean {
   if (value === undefined || value === null) return true
-  return typeof value === 'object' && !Array.isArray(value) && Object.values(value).every(one => typeof one === 'string')
+  return typeof value === 'object' && !Array.isArray(value) && Object.values(value).every(entry => typeof entry === 'string')
 }
--- a/test/batch/account.test.ts
+++ b/test/batch/account.test.ts
@@ -6,9 +6,8 @@
 
 const ITEMS = 1_000
 
-// What the account shows: each recorded result once. Replies to writes are lost all along, so holders write the same
-// results again and find their own; the one whose name the closed chunk keeps counts it, however often it asks.
-test('the account counts each recorded result once, also when replies are lost', async t => {
+// Guards against results counted twice when lost replies make holders repeat their writes.
+test('the account counts each recorded result once, even when replies are lost', async t => {
   const simulation = await new Simulation().start(3)
   const job = await createTestJob(simulation.daemons[0]!, { count: ITEMS })
   simulation.faults.lostUntil = 150
@@ -31,7 +30,7 @@
   return { writes: count('put', 'delete'), reads: count('get'), listings: count('list'), largest, seconds: simulation.second }
 }
 
-// Bounds of the calls at the platform, which the whole fleet shares: they are what the state is designed for.
+// Bounds on the calls to the platform, which all daemons of the fleet share.
 const BOUNDS = [
   { items: 1_000, daemons: 1, slots: 4, writes: 70, reads: 130 },
   { items: 1_000, daemons: 1, slots: 40, writes: 45, reads: 60 },
@@ -39,7 +38,7 @@
 ]
 
 for (const { items, daemons, slots, writes, reads } of BOUNDS) {
-  test(`${items} items on ${daemons} daemons with ${slots} slots: calls at the platform within bounds`, async t => {
+  test(`${items} items on ${daemons} daemons with ${slots} slots: calls to the platform stay within bounds`, async t => {
     const counts = await countCalls(items, daemons, slots)
     t.log(JSON.stringify(counts))
     t.true(counts.writes <= writes && counts.reads <= reads)
--- a/test/batch/cancel-frozen.test.ts
+++ b/test/batch/cancel-frozen.test.ts
@@ -3,9 +3,9 @@
 import { BOUND, checkStopped, startJob } from './helpers/running-job.js'
 import { createClient } from './helpers/process-fleet.js'
 
-// What the caller sees: the same, while a holder is frozen. It hears of nothing, and goes on after the acknowledgement with
-// items that it took to be ready. It has to look at the job again before it starts any.
-test('a job cancelled while a holder is frozen: the holder begins nothing when it goes on', async t => {
+// A frozen holder misses the cancellation and resumes with items ready to run. It must check the job again before it
+// starts any.
+test('a job cancelled while a holder is frozen: the holder starts no item after it resumes', async t => {
   const running = await startJob(t)
   const { fleet, holder } = running
   const frozen = fleet.daemons[holder]!
--- a/test/batch/cancel.test.ts
+++ b/test/batch/cancel.test.ts
@@ -16,10 +16,8 @@
 const BOUND = 5_000
 const OUTAGE_BOUND = 60_000
 
-// What the caller sees: its cancelling acknowledged, then no item started after the stated bound, and counts that
-// add up to all items. The holders are killed, paused and resumed, cut off from the platform alone or all together,
-// and replies to writes are lost, before, at and after the cancelling. A holder that can't look at the job goes on
-// for a time that is bounded too. Old reads of a job would stretch the bound and are left out.
+// Guards against items that start after the bound, and against counts that don't add up, under kills, pauses,
+// disconnections, outages and lost replies. Old reads of a job would extend the bound and are left out.
 test('a cancelled job stops, and its counts add up, under random faults', async t => {
   await fc.assert(fc.asyncProperty(faultEvents, fc.integer({ min: 1, max: 70 }), async (events, when) => {
     const simulation = await new Simulation({ runTime: 2_500 }).start(4)
@@ -50,10 +48,9 @@
   t.pass()
 })
 
-// What the caller sees: its cancelling acknowledged by another daemon, while the holder of the chunk can't reach the
-// platform and so can't know. The holder can't tell this from an outage, goes on for 60 s, and then starts nothing
-// more: without that limit it goes on until its chunk is done.
-test('a holder cut off from the platform stops within the stated bound', async t => {
+// A holder that can't reach the platform can't tell a cancellation from an outage. It may start items for 60 s, and
+// must not go on until its chunk is done.
+test('a holder that can\'t reach the platform stops within the outage bound', async t => {
   const simulation = await new Simulation({ runTime: 2_500 }).start(2)
   const job = await createTestJob(simulation.daemons[1]!, { count: 200 })
   await simulation.run(3)
@@ -68,9 +65,8 @@
   t.is((await simulation.daemons[holder]!.jobs.read(job.id)).unwrap().status, 'cancelled')
 })
 
-// What the caller sees: a refusal. In an outage of the platform a cancelling can't be made durable, so it is not
-// acknowledged, and the job goes on.
-test('a cancelling in an outage is refused', async t => {
+// During an outage a cancellation can't be made durable, so it is not acknowledged, and the job goes on.
+test('a cancellation during an outage is refused', async t => {
   const simulation = await new Simulation().start(1)
   const job = await createTestJob(simulation.daemons[0]!, { count: 20 })
   simulation.faults.outageUntil = 10
@@ -79,7 +75,7 @@
   t.is((await simulation.daemons[0]!.jobs.read(job.id)).unwrap().status, 'completed')
 })
 
-test('a start needs a look at the job that is fresh, or an outage that is short', t => {
+test('items start only after a recent check of the job, or early in an outage', t => {
   const table = [
     [{ seen: 0, unreachable: false }, 5_000, true],
     [{ seen: 0, unreachable: false }, 5_001, false],
--- a/test/batch/claims.test.ts
+++ b/test/batch/claims.test.ts
@@ -13,11 +13,9 @@
 const ITEMS = 420
 const SECONDS = 400
 
-// What the caller sees: a job of 420 items, every seventh not to be repeated, and its results.
-// Daemons are killed, replaced, paused past their leases and resumed; the platform is down for minutes, loses
-// replies to writes and gives old reads; all in random order. Whatever a holder believes, the version of the chunk
-// decides, so each item ends with one result that never changes, and no non-idempotent item runs twice.
-test('one result an item, the same on every later read, under random faults', async t => {
+// Guards against results that change and non-idempotent items that run twice, when daemons are killed, replaced or
+// paused beyond their leases, and the platform is unavailable, loses replies or returns old versions.
+test('each item has one result, the same on every read, under random faults', async t => {
   await fc.assert(fc.asyncProperty(faultEvents, async events => {
     const simulation = await new Simulation().start(4)
     const reader = simulation.daemons[3]!
@@ -43,10 +41,9 @@
   t.pass()
 })
 
-// What the caller sees: the same job, whichever daemon it is sent to. Four daemons get the same upload and the same
-// job at the same time, with replies to writes lost: ids follow from caller, content and key, so all of them meet in
-// the same objects, and exactly one of them counts it as accepted.
-test('a job sent again, also at the same time through another daemon, is the same job', async t => {
+// Four daemons receive the same upload and job at the same time, with replies to writes lost. Guards against a second
+// job.
+test('a repeated request gives the same job, even through several daemons at once', async t => {
   const simulation = await new Simulation().start(4)
   simulation.faults.lostUntil = 5
   const sent = await Promise.all(simulation.daemons.map(async daemon => await createTestJob(daemon, { count: 450 })))
@@ -57,9 +54,8 @@
   t.is((await readLines(simulation.daemons[0]!, sent[0]!)).size, 450)
 })
 
-// What the caller sees: the results, as after any other night. Each daemon in turn ends gracefully and is replaced
-// while items run; it lets what runs end and lets go of its chunks, so no item runs a second time.
-test('every daemon replaced one by one: nothing runs twice', async t => {
+// Guards against items that run twice because a daemon ends before it has released its chunks.
+test('a rolling restart of all daemons runs no item twice', async t => {
   const simulation = await new Simulation().start(3)
   const job = await createTestJob(simulation.daemons[0]!, { count: 600, idempotent: i => i % 2 === 0 })
   for (const n of [0, 1, 2]) {
@@ -76,9 +72,9 @@
   t.is(new Set(simulation.runs.map(({ item }) => item)).size, simulation.runs.length)
 })
 
-// What the caller sees: its job goes on within seconds. A daemon dies with chunks claimed, long before its lease
-// ends; once it is gone from the list of instances its successor by hashing frees its chunks from one read.
-test('what a dead daemon held is taken over before its lease ends', async t => {
+// Guards against a job that waits for the lease of a crashed daemon although the daemon has left the list of
+// instances.
+test('the chunks of a dead daemon are taken over before its lease expires', async t => {
   const simulation = await new Simulation().start(2)
   const job = await createTestJob(simulation.daemons[1]!, { count: 150 })
   const holder = async (): Promise<string> => (await simulation.store.get<any>('chunk', `${job.id}.0`)).unwrap().value.holder?.instance
--- a/test/batch/fleet-non-idempotent.test.ts
+++ b/test/batch/fleet-non-idempotent.test.ts
@@ -2,10 +2,8 @@
 import test from 'ava'
 import { createClient, lines, startFleet } from './helpers/process-fleet.js'
 
-// What the caller sees: all results, some of them `unknown`. Every other item is not to be repeated. A daemon is killed
-// while its items run; the started marks that it had made durable tell its successor which of them may have run. The
-// engines' own logs decide: no such item began twice.
-test('a daemon killed while non-idempotent items run: none begins twice', async t => {
+// Guards against a second run of items that a killed daemon had sent. The engines' logs show which items ran.
+test('a daemon killed while non-idempotent items run: none runs twice', async t => {
   const fleet = await startFleet()
   t.teardown(async () => await fleet.stop())
   const client = createClient(fleet, 1)
--- a/test/batch/fleet.test.ts
+++ b/test/batch/fleet.test.ts
@@ -8,10 +8,9 @@
 import { runProgram } from '../../src/commands/run-program.js'
 import { createClient, ITEMS, lines, startFleet } from './helpers/process-fleet.js'
 
-// What the caller sees: its job acknowledged, then the daemon that acknowledged it gone. The job is in the platform's
-// objects before the answer goes out, and what the dead daemon had claimed is taken over by another, so that the
-// caller finds the whole job through any of the others, and the same job when it sends it again.
-test('a daemon killed right after its acknowledgement: the job is done, once', async t => {
+// Guards against a job that is lost, or created again by a repeated request, when the daemon that acknowledged it is
+// killed.
+test('a daemon killed right after it acknowledged a job: the job is completed, once', async t => {
   const fleet = await startFleet()
   t.teardown(async () => await fleet.stop())
   const [first, second] = [createClient(fleet, 0), createClient(fleet, 1)]
@@ -29,9 +28,8 @@
   t.is(await read(), output)
 })
 
-// What the caller sees: all results, each item run once, though the platform answers nobody for a while. Holders go on
-// with what they have claimed; results wait in memory and are recorded when the platform is back.
-test('the platform down while items run: they go on, and none runs twice', async t => {
+// Guards against items that stop, run twice or lose their results while the platform is unavailable.
+test('an outage of the platform while items run: they continue, and none runs twice', async t => {
   const fleet = await startFleet()
   t.teardown(async () => await fleet.stop())
   const client = createClient(fleet, 0)
--- a/test/batch/frozen-start.test.ts
+++ b/test/batch/frozen-start.test.ts
@@ -16,7 +16,7 @@
 
 interface Bench { readonly simulation: Simulation, readonly bench: DispatchBench, readonly server: RawServer, readonly take: () => BatchWork }
 
-/** A holder on virtual time whose items go over real connections. */
+/** A simulated holder whose items are sent over real connections. */
 async function start (t: ExecutionContext): Promise<Bench> {
   const simulation = await new Simulation({ slots: 1 }).start(1)
   await createTestJob(simulation.daemons[0]!, { count: 20 })
@@ -30,10 +30,9 @@
   return { simulation, bench, server, take: () => simulation.daemons[0]!.source.take('drafts')! }
 }
 
-// What the caller sees: an item of its cancelled job that begins after the bound. Its holder takes the item and asks for a
-// connection, is frozen, and the kernel connects meanwhile. At the thaw the connection is there, and the request was
-// written to it before anybody had looked at the job again. The clock jumps as it does for a frozen process.
-test('an item that waits for its connection while the holder is frozen is not sent after that', async t => {
+// The connection is established while the process is frozen. Guards against sending the request at the thaw before
+// the job has been checked again.
+test('an item that waits for its connection while the holder is frozen is not sent at the thaw', async t => {
   const { simulation, bench, server, take } = await start(t)
   const run = (): BatchRun => new BatchRun({
     work: take(),
@@ -54,8 +53,8 @@
   t.is(bench.container.resolve(Servers).find('server-0')!.limit, Infinity)
 })
 
-// The same for an item that goes by the dispatcher: one of a plain service, one that isn't to be repeated, or a suspect.
-test('nor is one that the dispatcher runs', async t => {
+// The dispatcher runs items of plain services, non-idempotent ones, and suspects.
+test('nor is an item that is run by the dispatcher', async t => {
   const { simulation, bench, server, take } = await start(t)
   const configuration = bench.container.resolve(ConfigurationHolder)
   configuration.offer({ ...configuration.value, version: 2, services: { drafts: { kind: 'model', pool: 'pool', model: 'model', idempotent: true } } })
--- a/test/batch/hand-over.test.ts
+++ b/test/batch/hand-over.test.ts
@@ -19,9 +19,9 @@
   return simulation.clock.now() - drainStarted
 }
 
-// What the caller sees: a job that stands still while a daemon is replaced, though others have nothing to do. They have
-// found its chunk held and leave it alone for a while, the longer the larger the fleet is; the daemon that ends lets it go.
-test('a chunk that is let go is taken by another daemon as soon as the calls allow', async t => {
+// Other daemons have found the chunk held and skip it for a while. Guards against a job that waits although they have
+// capacity.
+test('a released chunk is claimed by another daemon within a few calls', async t => {
   for (const [daemons, call] of [[2, 100], [3, 100], [12, 100]] as const) {
     const times: number[] = []
     for (let drainAt = 0; drainAt < 5_000; drainAt += 300) times.push(await measureHandOver(daemons, drainAt, call))
--- a/test/batch/helpers/fault-events.ts
+++ b/test/batch/helpers/fault-events.ts
@@ -5,7 +5,7 @@
 const length = fc.integer({ min: 1, max: 150 })
 const daemon = fc.integer({ min: 0, max: 2 })
 
-/** Faults in random order. The fourth daemon is never harmed, so that somebody is left to finish. */
+/** Random sequences of faults. The fourth daemon never fails, so that the job can be finished. */
 export const faultEvents: fc.Arbitrary<readonly FaultEvent[]> = fc.array(fc.oneof(
   fc.record({ type: fc.constantFrom('kill' as const, 'replace' as const), daemon, at }),
   fc.record({ type: fc.constantFrom('pause' as const, 'cut' as const), daemon, at, length }),
--- a/test/batch/helpers/faulty-store.ts
+++ b/test/batch/helpers/faulty-store.ts
@@ -6,15 +6,18 @@
 import type { WatchBatch } from '../../../src/store/watch-batch.js'
 import type { FreezableClock } from './freezable-clock.js'
 
-/** One daemon's way to the shared store: nothing goes out or comes in while it is frozen; some reads are old. */
+/**
+ * One daemon's access to the shared store: calls are held up while the daemon is frozen, and some reads return old
+ * versions.
+ */
 export class FaultyStore implements ObjectStore {
   private readonly earlier = new Map<string, StoredObject<any>>()
   private reads = 0
-  /** Every how many reads one gives the version before; 0 for never. */
+  /** One in this many reads returns the previous version; 0 for none. */
   oldReads = 0
-  /** Until when this daemon alone gets no answer, in ms of the trial's clock. */
+  /** Time in ms of the simulation's clock until which this daemon can't reach the store. */
   cutUntil = -1
-  /** Time that each call takes, ms. */
+  /** Duration of each call in ms. */
   delay = 0
 
   constructor (private readonly shared: MemoryStore, private readonly clock: FreezableClock) {}
--- a/test/batch/helpers/freezable-clock.ts
+++ b/test/batch/helpers/freezable-clock.ts
@@ -1,6 +1,9 @@
 import type { Clock } from '../../../src/kernel/clock.js'
 
-/** The clock of one daemon in a trial: while it is frozen nothing of the daemon runs; what fell due runs at the thaw. */
+/**
+ * The clock of one daemon in a simulation. While it is frozen the daemon's timers don't run; those that became due
+ * run at the thaw.
+ */
 export class FreezableClock implements Clock {
   private thaw?: () => void
   private thawed: Promise<void> = Promise.resolve()
@@ -41,7 +44,7 @@
     this.thaw = undefined
   }
 
-  /** Resolves at once, or at the thaw. */
+  /** Resolves at once, or at the thaw if the clock is frozen. */
   async waitThawed (): Promise<void> {
     while (this.frozen) await this.thawed
   }
--- a/test/batch/helpers/read-lines.ts
+++ b/test/batch/helpers/read-lines.ts
@@ -1,7 +1,7 @@
 import type { Job } from '../../../src/batch/job.js'
 import type { SimulatedDaemon } from './simulated-daemon.js'
 
-/** The recorded results of a job: the line of each item, by its custom id. */
+/** Returns the recorded results of a job: the line of each item, by its custom id. */
 export async function readLines (daemon: SimulatedDaemon, job: Job): Promise<ReadonlyMap<string, string>> {
   const lines = new Map<string, string>()
   for (const which of ['output', 'errors'] as const) {
--- a/test/batch/helpers/running-job.ts
+++ b/test/batch/helpers/running-job.ts
@@ -2,16 +2,19 @@
 import type { Fleet } from '../../../harness/fleet.js'
 import { createClient, lines, startFleet } from './process-fleet.js'
 
-/** The stated bound: a holder's look at the job is at most this old while the platform answers, ms. */
+/**
+ * ms. While the platform answers, items of a job start only within this time after the last successful check of the
+ * job.
+ */
 export const BOUND = 5_000
-/** For how long after the bound the engines' logs are watched, ms. */
+/** ms after the bound during which the engines' logs are still read. */
 const WATCHED = 3_000
 const ITEMS = 6_000
 const TOKENS = 200
 
 interface Running { readonly fleet: Fleet, readonly job: string, readonly holder: number, readonly readStarts: () => Promise<readonly number[]> }
 
-/** A fleet that runs a job far too long to end by itself, and who holds its first chunk. */
+/** Starts a fleet and a job too long to end by itself, and returns the index of the daemon that holds a chunk of it. */
 export async function startJob (t: ExecutionContext): Promise<Running> {
   const fleet = await startFleet()
   t.teardown(async () => await fleet.stop())
@@ -25,7 +28,7 @@
   return { fleet, job: job.id, holder: fleet.daemons.findIndex(node => node.instance.name === instance), readStarts }
 }
 
-/** Waits until the bound is over for long enough, and checks that nothing began after it. */
+/** Waits until well after the bound, and checks that no item started after it and that the job ends as cancelled. */
 export async function checkStopped (t: ExecutionContext, { fleet, job, readStarts }: Running, reader: number, acknowledged: number): Promise<void> {
   await fleet.waitUntil(async () => Date.now() > acknowledged + BOUND + WATCHED)
   const starts = await readStarts()
--- a/test/batch/helpers/simulated-daemon.ts
+++ b/test/batch/helpers/simulated-daemon.ts
@@ -41,22 +41,22 @@
   readonly store: MemoryStore
   readonly clock: VirtualClock
   readonly runs: Run[]
-  /** How far the wall clock is moved on, apart from the time that passes. */
+  /** ms that are added to the wall clock, on top of the time that passes. */
   readonly shift: { readonly ms: number }
-  /** Names of the daemons that are in the list of instances. */
+  /** Names of the daemons in the list of instances. */
   readonly members?: () => readonly string[]
   readonly dataFolder?: string
-  /** Carries peer messages; by default none comes through. */
+  /** Delivers peer messages; by default all are lost. */
   readonly send?: (to: string, message: PeerMessage) => void
   /** Items that run at once. */
   readonly slots?: number
-  /** Time of one run in ms. */
+  /** Duration of one run in ms. */
   readonly runTime?: number
-  /** What becomes of an item; by default it completes with a body that names its run. */
+  /** Returns the outcome of a run; by default it completes with a body that names the run. */
   readonly answer?: (work: BatchWork, run: number) => ItemResult | Parameters<BatchWork['giveBack']>
 }
 
-/** The batch part of one daemon over a shared store, with a runner of items in the place of the servers. */
+/** The batch components of one daemon on a shared store, with a simulated runner of items in place of the servers. */
 export class SimulatedDaemon {
   readonly clock: FreezableClock
   readonly store: FaultyStore
--- a/test/batch/helpers/simulation.ts
+++ b/test/batch/helpers/simulation.ts
@@ -7,7 +7,7 @@
 
 const SECOND = 1_000
 
-/** Several daemons over one store and one virtual clock, with faults. */
+/** Several daemons on one store and one virtual clock, with faults. */
 export class Simulation {
   readonly store = new MemoryStore()
   readonly clock = new VirtualClock()
@@ -30,7 +30,7 @@
     return Math.floor(this.clock.now() / SECOND)
   }
 
-  /** The list of instances: the dead leave it at once, the paused stay. */
+  /** The list of instances: killed daemons leave it at once, paused ones stay. */
   readonly members = (): readonly string[] => this.daemons.map(({ name }) => name).filter(name => !this.dead.has(name))
 
   async start (count: number): Promise<this> {
@@ -38,7 +38,7 @@
     return this
   }
 
-  /** Lets a second pass, `events` falling on it first. */
+  /** Advances the clock by a second, after applying the `events` of that second. */
   async step (events: readonly FaultEvent[] = []): Promise<void> {
     for (const event of events) if (event.at === this.second) await this.apply(event)
     for (const { store } of this.daemons) store.oldReads = this.second < this.faults.oldUntil ? 3 : 0
--- a/test/batch/order-jobs.test.ts
+++ b/test/batch/order-jobs.test.ts
@@ -8,12 +8,12 @@
   return { job, caller, due, items, created: 0, service: 'drafts' }
 }
 
-test('jobs in the order of pressing due times, callers\' shares, and what each got', t => {
+test('jobs are ordered by urgency, callers\' shares and recent usage', t => {
   const entries = [entry('huge', 'kitchen', 24 * HOUR, 98_000), entry('small', 'kitchen', 24 * HOUR), entry('menu', 'hall', 20 * HOUR), entry('late', 'desk', HOUR)]
   const table: ReadonlyArray<readonly [string, Readonly<Record<string, number>>, Readonly<Record<string, number>>, readonly string[]]> = [
-    ['the earliest due first while nobody got anything', {}, {}, ['late', 'menu', 'huge', 'small']],
-    ['a pressing job before its caller\'s share', { desk: 9_000, late: 9_000 }, { late: HOUR }, ['late', 'menu', 'huge', 'small']],
-    ['the caller that got least for its weight', { desk: 100, hall: 10, kitchen: 60 }, {}, ['menu', 'huge', 'small', 'late']],
+    ['the earliest due time first without any usage', {}, {}, ['late', 'menu', 'huge', 'small']],
+    ['an urgent job regardless of its caller\'s share', { desk: 9_000, late: 9_000 }, { late: HOUR }, ['late', 'menu', 'huge', 'small']],
+    ['the caller with the least usage for its weight', { desk: 100, hall: 10, kitchen: 60 }, {}, ['menu', 'huge', 'small', 'late']],
     ['a small job beside a huge one of the same caller', { kitchen: 0, hall: 1, desk: 1, huge: 500 }, {}, ['small', 'huge', 'late', 'menu']]
   ]
   for (const [name, used, rest, expected] of table) {
--- a/test/batch/paused-holder.test.ts
+++ b/test/batch/paused-holder.test.ts
@@ -5,10 +5,9 @@
 const COUNT = 400
 const TOKENS = 120
 
-// What the caller sees: results that never change, one an item. The holder of a chunk is frozen while its items run and
-// their results wait to be recorded. The others take its chunk over and run its items again; then it goes on, and records
-// late. The caller reads all the while: what it has read once must stay, byte for byte, whoever of the two was first.
-test('a holder that was frozen until others had its chunk changes no result', async t => {
+// The other daemons take over the chunk of a frozen holder and run its items again. Guards against results that
+// change when the holder resumes and records its own.
+test('a holder that resumes after its chunk was taken over changes no result', async t => {
   const fleet = await startFleet()
   t.teardown(async () => await fleet.stop())
   const client = createClient(fleet, 1)
--- a/test/batch/pauses.test.ts
+++ b/test/batch/pauses.test.ts
@@ -5,10 +5,9 @@
 import { readLines } from './helpers/read-lines.js'
 import { Simulation } from './helpers/simulation.js'
 
-// What the caller sees: a job that goes on, though slowly. The only daemon stands still for two seconds out of every
-// four, as on an instance that is short of processor time. After each pause it has to look at its chunks and jobs
-// again before it starts anything; that must not keep it from starting at all.
-test('a daemon that stands still again and again makes progress', async t => {
+// The only daemon is paused for two of every four seconds, as on an overloaded instance. Guards against checks after
+// each pause that leave no time to start items.
+test('a daemon that is paused repeatedly makes progress', async t => {
   const simulation = await new Simulation().start(1)
   const job = await createTestJob(simulation.daemons[0]!, { count: 40, idempotent: i => i % 2 === 0 })
   const ended = async (): Promise<boolean> => (await simulation.daemons[0]!.jobs.read(job.id)).unwrap().status === 'completed'
@@ -22,12 +21,12 @@
   t.is(new Set(simulation.runs.map(({ item }) => item)).size, simulation.runs.length)
 })
 
+/** Duration in ms of a call to the platform. */
 const CALL = 300
 
-// What the caller sees: the same on a fleet that is short of processor time as a whole. Each daemon stands still for two
-// seconds out of every four, and the platform's calls take 300 ms. After a pause nothing starts before a new look at the
-// job; were that left to the next round of looks, two seconds later, most of the time between two pauses would be lost.
-test('after a pause a daemon looks at its jobs at once', async t => {
+// Guards against daemons that wait for the next periodic check after a pause, and so lose most of the time until the
+// next one.
+test('after a pause a daemon checks its jobs at once', async t => {
   const simulation = await new Simulation({ runTime: 300, slots: 25 }).start(3)
   const job = await createTestJob(simulation.daemons[0]!, { count: 40, idempotent: i => i % 2 === 0 })
   for (const { store } of simulation.daemons) store.delay = CALL
--- a/test/batch/read-items.test.ts
+++ b/test/batch/read-items.test.ts
@@ -7,7 +7,7 @@
 const SEED = 20261204
 const line = (id: string, more: object = {}): string => JSON.stringify({ custom_id: id, method: 'POST', url: '/v1/chat/completions', body: { model: 'm' }, ...more })
 
-test('every finding of a bad file comes with its line', t => {
+test('all errors of an invalid file are returned with their lines', t => {
   const text = [line('a'), 'nonsense', line('a'), '', line('b', { method: 'GET' }), line('c', { idempotent: 'no' }), line('d', { body: { model: 'x'.repeat(200_000) } }), '[]'].join('\n')
   const findings = readItems(text)
   t.true(findings.err)
@@ -16,7 +16,7 @@
   t.deepEqual(readItems('\n\n').err, true)
 })
 
-test('items are sorted by service, each saying whether it may be repeated', t => {
+test('items are grouped by service, and `idempotent` is set on each', t => {
   const services = { m: { kind: 'model', pool: 'p', idempotent: true }, bookings: { kind: 'plain', pool: 'b', idempotent: false } } as const
   const text = [line('a'), line('b', { url: '/services/bookings/slots', body: {} }), line('c', { idempotent: false })].join('\n')
   const read = readUpload(text, services).unwrap()
@@ -28,7 +28,7 @@
   t.deepEqual(wrong.err && wrong.val.map(({ line }) => line), [1, 2, 3])
 })
 
-test('any text is read or refused, and what is read is all of it', t => {
+test('any text is refused or read completely', t => {
   const good = fc.uniqueArray(fc.string({ minLength: 1, maxLength: 20 }), { minLength: 1, maxLength: 30 })
   const bad = fc.oneof(fc.string(), fc.json(), fc.string({ unit: 'binary' }))
   fc.assert(fc.property(good, fc.array(fc.tuple(fc.nat(40), bad), { maxLength: 3 }), (ids, noise) => {
@@ -42,7 +42,7 @@
   t.pass()
 })
 
-test('chunks keep every item in order within their limits', t => {
+test('chunks hold all items in order and within the limits', t => {
   fc.assert(fc.property(fc.array(fc.nat(3_000), { maxLength: 300 }), sizes => {
     const items = sizes.map((size, i) => ({ id: String(i), url: '/', body: { text: 'é'.repeat(size) } }))
     const chunks = splitItems(items, { maxItems: 50, maxBytes: 20_000 })
--- a/test/batch/retention.test.ts
+++ b/test/batch/retention.test.ts
@@ -6,9 +6,8 @@
 const DAY = 86_400_000
 const KINDS = ['job', 'file', 'items', 'chunk', 'part', 'work', 'expiry', 'caller-job', 'caller-file', 'file-job']
 
-// What the caller sees: results that stay until it has read them, and then for the stated time. Everything that a job
-// left at the platform goes with it, the file it came from once no job names it, and no read lists all jobs.
-test('read results go after their time with all they left behind, unread ones stay', async t => {
+// Guards against unread results that are removed, and against objects that remain after a job has been removed.
+test('results that have been read are removed with all objects of their job when they expire, unread ones stay', async t => {
   const simulation = await new Simulation().start(2)
   const [daemon] = simulation.daemons
   const job = await createTestJob(daemon!, { count: 300 })
--- a/test/batch/retries.test.ts
+++ b/test/batch/retries.test.ts
@@ -8,7 +8,7 @@
 
 const ITEMS = 500
 
-test('what becomes of an item that was given back', t => {
+test('retry plans of items that were given back', t => {
   const given = { why: 'server failed', ran: true, idempotent: true, attempts: 0, server: 'engine-1' } as const
   const table = [
     [given, { type: 'again', pause: 200, attempts: 1 }],
@@ -24,10 +24,8 @@
   t.is(unknown.type === 'finish' && unknown.result.type === 'failed' && unknown.result.cause, 'unknown')
 })
 
-// What the caller sees: 500 items, four of which can't be done, end; the four with their causes, the rest completed.
-// One is refused for good, one fails at every server, one is too large an answer to keep, one non-idempotent fails
-// with its fate unknown. The ones that fail everywhere must neither be tried without end nor hold up the others.
-test('items that can never be done end as failed with their cause, the others complete', async t => {
+// Guards against items that fail everywhere being retried without end or delaying the others.
+test('items that can\'t succeed fail with their cause, the others complete', async t => {
   const simulation = await new Simulation({
     answer: ({ item }, run) => {
       switch (item.id) {
@@ -50,9 +48,8 @@
   t.deepEqual(['item-10', 'item-20', 'item-30'].map(id => simulation.runs.filter(({ item }) => item === id).length), [1, 5, 1])
 })
 
-// What the caller sees: its item done however often it gave way to online requests. A preemption isn't an attempt,
-// and the next run gets the tokens of the one before.
-test('giving way is no attempt, and keeps what was generated', async t => {
+// Guards against preempted items that fail after too many attempts or lose the tokens generated so far.
+test('a preemption doesn\'t count as an attempt and keeps the generated tokens', async t => {
   const resumed: number[] = []
   const simulation = await new Simulation({
     answer: ({ resumeFrom = [] }) => {
@@ -67,10 +64,9 @@
   t.is((await simulation.daemons[0]!.jobs.read(job.id)).unwrap().finished[0]!.completed, 1)
 })
 
-// What the caller sees: every answer, also where each is long and in a script of three bytes a character. A chunk's
-// results outgrow the platform's 1 MB a value, counted in bytes; what doesn't fit moves to parts of its own, and a
-// limit kept in characters would have the write refused for good, and the chunk never end.
-test('long answers in any script are kept, and no object passes the platform\'s limit', async t => {
+// Guards against limits in characters: an object over the platform's 1 MB in bytes is refused on every attempt, and
+// its chunk never ends.
+test('long answers in any script are stored, and no object exceeds the platform\'s limit', async t => {
   const simulation = await new Simulation({ slots: 40, answer: ({ item }) => ({ type: 'completed', status: 200, body: `${item.id} ${'潮'.repeat(20_000)}` }) }).start(2)
   const { store } = simulation
   const put = store.put.bind(store)
--- a/test/batch/rolling.test.ts
+++ b/test/batch/rolling.test.ts
@@ -6,11 +6,9 @@
 const COUNT = 1_800
 const TOKENS = 60
 
-// What the caller sees: all results of its job, as on any other night, while operators replace every daemon in turn. A
-// daemon that leaves lets what must not be cut end, gives the rest back and lets its chunks go; the others and
-// its successor, which has its name, take them over. Every item has one result; by the engines' logs every fifth, which isn't
-// to be repeated, began exactly once. An idempotent one may run twice where a daemon short of time is taken for dead.
-test('every daemon replaced one by one under a batch job: no item lost or doubled', async t => {
+// Guards against items lost or run twice during a rolling restart. Only an idempotent item may run twice, where a
+// slow daemon is taken for dead.
+test('a rolling restart during a batch job: no item is lost or duplicated', async t => {
   const fleet = await startFleet()
   t.teardown(async () => await fleet.stop())
   const client = createClient(fleet, 0)
@@ -37,7 +35,7 @@
   const { request_counts: counts } = await reader.batches.retrieve(job.id)
   const output = (await (await reader.files.content(`${job.id}.output`)).text()).trim().split('\n').map(line => JSON.parse(line).custom_id)
   const finished = await listFinished()
-  t.log(`${done.join(', ')} items had ended when the daemons had gone; ${finished.length} runs ended`)
+  t.log(`${done.join(', ')} items had ended when the daemons had exited; ${finished.length} runs ended`)
   t.is(new Set(output).size, COUNT)
   t.is(output.length, COUNT)
   t.is(counts?.completed, COUNT)
--- a/test/batch/send-lines.test.ts
+++ b/test/batch/send-lines.test.ts
@@ -18,9 +18,9 @@
   return { status: statusCode, retryAfter: headers['retry-after'], text: await body.text().catch(() => undefined) }
 }
 
-// What the caller sees: all lines; a cut answer where the platform stops answering on the way; a refusal that says when
-// to come back where it didn't answer at all.
-test('lines are sent whole, cut, or refused', async t => {
+// The connection is destroyed if the platform stops answering after the first line, and the request is refused with a
+// retry time if it doesn't answer at all.
+test('lines are sent completely, cut off by an error, or refused', async t => {
   t.deepEqual(await ask(t, ['a\n', '', 'b\n'], false), { status: 200, retryAfter: undefined, text: 'a\nb\n' })
   t.deepEqual(await ask(t, [], false), { status: 200, retryAfter: undefined, text: '' })
   t.is((await ask(t, ['a\n'], true)).text, undefined)
--- a/test/batch/shares.test.ts
+++ b/test/batch/shares.test.ts
@@ -8,9 +8,8 @@
 const CHUNK_TIME = 2_000
 const SHARES: Readonly<Record<string, number>> = { kitchen: 3, hall: 1, desk: 1 }
 
-// Three callers that want all there is, one of them with ten times the jobs, and later a small job beside a huge one.
-// Chunk after chunk is taken by the order, for two hours.
-test('callers get their shares, however many jobs they send, and a small job ends beside a huge one', t => {
+// Three callers with unlimited work, one of them with ten times the jobs, and a small job beside a very large one.
+test('callers get their shares regardless of their number of jobs, and a small job ends beside a very large one', t => {
   const job = (id: string, caller: string, items: number): WorkEntry => ({ job: id, caller, service: 'drafts', items, created: 0, due: 24 * HOUR })
   const left = new Map([job('k', 'kitchen', 1e9), ...Array.from({ length: 10 }, (_, i) => job(`h${i}`, 'hall', 98_000)), job('d', 'desk', 1e9), job('small', 'desk', 1_000)].map(entry => [entry, entry.items]))
   const use = new RecentUsage()
--- a/test/batch/spool.test.ts
+++ b/test/batch/spool.test.ts
@@ -13,10 +13,9 @@
 const SEED = 20261206
 const ITEMS = 60
 
-// What the caller sees: each item run once, though the daemon that ran them died before it could record them.
-// The platform goes down while items run, the holder spools what they answered, dies, and is started again after the
-// outage, when others wait for its lease still. Its next run records the file, so nothing is run again.
-test('results spooled in an outage are recorded by the next run', async t => {
+// Guards against items that run again because their daemon was restarted during an outage, before it could record
+// their results.
+test('results spooled during an outage are recorded by the next run', async t => {
   const dataFolder = mkdtempSync(join(tmpdir(), 'citronwheel-spool-'))
   t.teardown(() => rmSync(dataFolder, { recursive: true }))
   const simulation = await new Simulation({ dataFolder }).start(1)
@@ -35,7 +34,7 @@
   t.is(simulation.runs.length, ITEMS)
 })
 
-test('a spool file cut or changed anywhere gives whole entries only', t => {
+test('a spool file that is cut or changed anywhere yields only intact entries', t => {
   const entries = [0, 1, 2].map(item => ({ chunk: 'job.0', items: 3, item, result: { type: 'completed' as const, status: 200, body: { text: `é ${item}\n` } } }))
   const text = entries.map(encodeSpoolLine).join('')
   t.deepEqual(decodeSpool(text), { entries, torn: 0 })
--- a/test/batch/takeover.test.ts
+++ b/test/batch/takeover.test.ts
@@ -7,7 +7,10 @@
 
 const STEP = 100
 
-/** Two looks for holders that nobody remembers, and a few calls to the platform: to free the chunk, to end a look, to claim it. */
+/**
+ * Two checks for unknown holders, and a few calls to the platform to free the chunk, finish a search and claim the
+ * chunk.
+ */
 function findBound (call: number): number {
   return 2 * 4_000 + 1_000 + 20 * call
 }
@@ -26,10 +29,9 @@
   return simulation.clock.now() - killed
 }
 
-// What the caller sees: a job that stands still after a daemon was killed. Another daemon frees the chunk and looks for
-// work; a look that was on its way had read the chunk as held and put it aside. Whenever in the course of such looks
-// the holder dies, its chunk runs again as soon as the calls to the platform allow.
-test('a dead daemon\'s chunk is taken over within a bound, whenever it dies', async t => {
+// A search in progress may have read the chunk as held and marked it busy. Guards against a takeover that waits for
+// the next search.
+test('a dead daemon\'s chunk is taken over within a bound, whenever the daemon is killed', async t => {
   for (const call of [100, 130, 170, 210]) {
     const times: number[] = []
     for (let killAt = 0; killAt < 6_000; killAt += STEP) times.push(await measureTakeover(killAt, call))
@@ -38,9 +40,9 @@
   }
 })
 
-// What the caller sees: the same, but the chunk was let go by a daemon that lives, which tells the others. The news may
-// come in the middle of another's look, which has read the chunk as held by then and puts it aside for five seconds.
-test('news of a freed chunk isn\'t lost on a daemon that is looking just then', async t => {
+// The announcement may arrive during a search that has already read the chunk as held. Guards against the chunk being
+// skipped.
+test('the announcement of a freed chunk isn\'t lost on a daemon that is searching', async t => {
   const call = 300
   const times: number[] = []
   for (let freedAt = 1_500; freedAt < 8_000; freedAt += STEP) {
@@ -59,6 +61,6 @@
     while (!simulation.runs.some(({ daemon }) => daemon !== name) && simulation.clock.now() < freed + 70_000) await simulation.clock.advance(STEP)
     times.push(simulation.clock.now() - freed)
   }
-  t.log(`claimed ${Math.min(...times)} to ${Math.max(...times)} ms after the news`)
+  t.log(`claimed ${Math.min(...times)} to ${Math.max(...times)} ms after the announcement`)
   t.true(Math.max(...times) <= 12 * call)
 })
