--- a/src/batch/chunk-source.ts
+++ b/src/batch/chunk-source.ts
@@ -171,9 +171,9 @@
   }
 
   private async claimMore (service: string): Promise<boolean> {
-    for await (const { job, place } of this.finder.find(service, this.held)) {
+    for await (const { job, chunk } of this.finder.find(service, this.held)) {
       if (this.draining) return false
-      if (await this.claimChunk(job, place)) return true
+      if (await this.claimChunk(job, chunk)) return true
     }
     return false
   }
--- a/src/batch/holding-record.ts
+++ b/src/batch/holding-record.ts
@@ -61,7 +61,7 @@
     for (const name of names) this.chunks.delete(name)
   }
 
-  /** Writes the current list at once, for example before the daemon ends. */
+  /** Writes the current list at once, for example before the daemon exits. */
   async write (): Promise<Result<void, StoreError>> {
     const write = this.writing.then(async () => await this.put())
     this.writing = write
--- a/src/batch/job-outcomes.ts
+++ b/src/batch/job-outcomes.ts
@@ -13,8 +13,8 @@
 
 /**
  * Counts each ended job once for the account, by its caller and first service: on time, late or cancelled. The write
- * that ends a job stores the run of the daemon that made it, and only that run counts the job. Without it a lost
- * reply would leave open whose write took effect, and the job could be counted twice or not at all.
+ * that ends a job stores the run of the daemon that made it, and only that run counts the job. Otherwise a lost reply
+ * would leave open whose write took effect, and the job could be counted twice or not at all.
  */
 @scoped(Lifecycle.ContainerScoped)
 export class JobOutcomes {
--- a/src/batch/work-finder.ts
+++ b/src/batch/work-finder.ts
@@ -21,10 +21,10 @@
 /** Chunks of a job tried in one search. */
 const MAX_PROBES = 8
 
-type Place = ReturnType<typeof listChunks>[number]
+type NumberedChunk = ReturnType<typeof listChunks>[number]
 
 /** A chunk that may be free to claim. */
-interface Candidate { readonly job: Job, readonly place: Place }
+interface Candidate { readonly job: Job, readonly chunk: NumberedChunk }
 
 /**
  * Finds chunks to claim, in the order of jobs. A search reads one page of the index, at most `MAX_JOBS` jobs and
@@ -71,7 +71,7 @@
       const job = await this.jobs.check(id)
       if (job === undefined) continue
       this.remainingTimes.set(id, estimateRemainingTime(job, this.clock.date()))
-      for (const place of this.choosePlaces(job, service, held)) yield { job, place }
+      for (const chunk of this.chooseChunks(job, service, held)) yield { job, chunk }
       this.markBusy(id)
       if (held.listByJob(id).length === 0) this.jobs.remove(id)
     }
@@ -91,10 +91,10 @@
    * Returns unfinished chunks, starting at one chosen by hashing for this daemon, so that daemons seldom try to claim
    * the same one.
    */
-  private choosePlaces (job: Job, service: string, held: HeldChunks): readonly Place[] {
-    const open = listChunks(job.services).filter(place => {
-      const name = `${job.id}.${place.n}`
-      return place.service === service && job.finished[place.n] === undefined && !held.has(name) && !this.busy.has(name)
+  private chooseChunks (job: Job, service: string, held: HeldChunks): readonly NumberedChunk[] {
+    const open = listChunks(job.services).filter(chunk => {
+      const name = `${job.id}.${chunk.n}`
+      return chunk.service === service && job.finished[chunk.n] === undefined && !held.has(name) && !this.busy.has(name)
     })
     const first = rankOwners(this.holding.incarnation.instance, open.map(({ n }) => String(n)))[0]
     const start = open.findIndex(({ n }) => String(n) === first)
--- a/test/batch/cancel.test.ts
+++ b/test/batch/cancel.test.ts
@@ -49,7 +49,7 @@
 })
 
 // A holder that can't reach the platform can't tell a cancellation from an outage. It may start items for 60 s, and
-// must not go on until its chunk is done.
+// must not continue until its chunk is done.
 test('a holder that can\'t reach the platform stops within the outage bound', async t => {
   const simulation = await new Simulation({ runTime: 2_500 }).start(2)
   const job = await createTestJob(simulation.daemons[1]!, { count: 200 })
@@ -65,7 +65,7 @@
   t.is((await simulation.daemons[holder]!.jobs.read(job.id)).unwrap().status, 'cancelled')
 })
 
-// During an outage a cancellation can't be made durable, so it is not acknowledged, and the job goes on.
+// During an outage a cancellation can't be made durable, so it is not acknowledged, and the job continues.
 test('a cancellation during an outage is refused', async t => {
   const simulation = await new Simulation().start(1)
   const job = await createTestJob(simulation.daemons[0]!, { count: 20 })
--- a/test/batch/claims.test.ts
+++ b/test/batch/claims.test.ts
@@ -54,7 +54,7 @@
   t.is((await readLines(simulation.daemons[0]!, sent[0]!)).size, 450)
 })
 
-// Guards against items that run twice because a daemon ends before it has released its chunks.
+// Guards against items that run twice because a daemon exits before it has released its chunks.
 test('a rolling restart of all daemons runs no item twice', async t => {
   const simulation = await new Simulation().start(3)
   const job = await createTestJob(simulation.daemons[0]!, { count: 600, idempotent: i => i % 2 === 0 })
--- a/test/batch/helpers/running-job.ts
+++ b/test/batch/helpers/running-job.ts
@@ -2,10 +2,7 @@
 import type { Fleet } from '../../../harness/fleet.js'
 import { createClient, lines, startFleet } from './process-fleet.js'
 
-/**
- * ms. While the platform answers, items of a job start only within this time after the last successful check of the
- * job.
- */
+/** Time in ms after the acknowledgement of a cancellation within which all starts of items must stop. */
 export const BOUND = 5_000
 /** ms after the bound during which the engines' logs are still read. */
 const WATCHED = 3_000
