--- a/src/batch/cleaner.ts
+++ b/src/batch/expiry-cleaner.ts
@@ -20,16 +20,17 @@
 import { listChunks } from './list-chunks.js'
 import { mayRemove } from './may-remove.js'
 
+/** ms between clean-ups. */
 const PERIOD = 60_000
 const DAY = 86_400_000
 const PAGE = 500
 
 /**
- * Removes jobs, results and files whose time is over, on one daemon at a time. The job goes last, so that a clean-up
- * that was cut short is done again from its start.
+ * Removes expired jobs, results and files, on one daemon at a time. The job itself is removed last, so that an
+ * interrupted removal is repeated from the start.
  */
 @scoped(Lifecycle.ContainerScoped)
-export class Cleaner implements Part {
+export class ExpiryCleaner implements Part {
   private cleaning = false
   private cancelTimer = (): void => {}
 
@@ -56,24 +57,26 @@
   }
 
   private async clean (): Promise<void> {
-    if (this.cleaning || rankOwners('clean-up', this.members.owners())[0] !== this.holding.by.instance) return
+    if (this.cleaning || rankOwners('clean-up', this.members.owners())[0] !== this.holding.incarnation.instance) return
     this.cleaning = true
     const due = (await this.expiries.list(this.clock.date())).unwrapOr([])
-    for (const expiry of due) await this.look(expiry)
+    for (const expiry of due) await this.checkExpiry(expiry)
     await this.cancelled.clean()
     this.cleaning = false
   }
 
-  /** Removes it, or has it looked at again tomorrow; whatever fails is met again at the next look. */
-  private async look (expiry: Expiry & { readonly name: string }): Promise<void> {
-    const removed = expiry.type === 'job' ? await this.lookAtJob(expiry.id) : await this.lookAtFile(expiry.id)
+  /**
+   * Removes the file or job, or schedules another check in a day. A check that fails is repeated in the next period.
+   */
+  private async checkExpiry (expiry: Expiry & { readonly name: string }): Promise<void> {
+    const removed = expiry.type === 'job' ? await this.checkJob(expiry.id) : await this.checkFile(expiry.id)
     if (removed === 'failed') return
     if (removed === 'kept' && (await this.expiries.add(expiry, this.clock.date() + DAY)).err) return
     if (removed === 'removed') this.timeline.record({ part: 'batch', what: 'removed', job: expiry.id })
     await this.expiries.remove(expiry.name)
   }
 
-  private async lookAtJob (id: string): Promise<'removed' | 'kept' | 'failed'> {
+  private async checkJob (id: string): Promise<'removed' | 'kept' | 'failed'> {
     const job = await this.jobs.read(id, 'background')
     if (job.err) return job.val.type === 'missing' ? 'removed' : 'failed'
     const keep = this.configuration.value.limits.resultKeep
@@ -91,8 +94,8 @@
     return await this.remove('job', job.id)
   }
 
-  /** A file goes once no job names it and its time is over; jobs read their items' names from it to the last. */
-  private async lookAtFile (id: string): Promise<'removed' | 'kept' | 'failed'> {
+  /** Removes a file that no job refers to any more. Until then results take the ids of their items from it. */
+  private async checkFile (id: string): Promise<'removed' | 'kept' | 'failed'> {
     const users = await this.store.list('file-job', { prefix: `${id}~`, limit: 1 })
     if (users.err) return 'failed'
     if (users.val.length > 0) return 'kept'
@@ -102,7 +105,10 @@
     return await this.removeAll('items', `${id}.`) ? 'removed' : 'failed'
   }
 
-  /** Parts that no chunk names go too: a holder died after it wrote them. */
+  /**
+   * Removes all parts of a chunk, including those that a holder wrote before it crashed without adding them to the
+   * chunk.
+   */
   private async removeParts (prefix: string): Promise<boolean> {
     return await this.removeAll('part', prefix)
   }
@@ -124,4 +130,4 @@
   }
 }
 
-partRegistry.register({ name: 'batch clean-up', part: Cleaner, needs: ['members', 'holding record', 'configuration'] })
+partRegistry.register({ name: 'batch clean-up', part: ExpiryCleaner, needs: ['members', 'holding record', 'configuration'] })
--- a/src/batch/held-chunk.ts
+++ b/src/batch/held-chunk.ts
@@ -5,7 +5,7 @@
 import type { ObjectStore } from '../store/object-store.js'
 import type { StoredObject } from '../store/stored-object.js'
 import type { Chunk } from './chunk.js'
-import { ChunkRecord } from './chunk-record.js'
+import { ChunkWriter } from './chunk-writer.js'
 import type { Item } from './item.js'
 import { ItemQueue } from './item-queue.js'
 import type { ItemResult } from './item-result.js'
@@ -14,8 +14,9 @@
 import { listRecorded } from './list-recorded.js'
 import { planRetry } from './plan-retry.js'
 
-const CHECK_PAUSE = 500
-/** Marked items that wait to be taken: each is lost as unknown when this daemon dies. */
+/** ms between attempts to read the chunk again. */
+const RECHECK_PAUSE = 500
+/** Maximum number of waiting items that are marked as started; if this daemon crashes, these fail as unknown. */
 const MAX_MARKED = 4
 
 interface HeldChunkOptions {
@@ -27,51 +28,51 @@
   readonly by: Incarnation
   readonly store: ObjectStore
   readonly clock: Clock
-  /** Whether items of the job may start now; notices a pause of the process before it answers. */
+  /** Whether items of the job may start now; detects a pause of the process first. */
   readonly mayStart: () => boolean
-  /** Called when items have become ready after there were none. */
+  /** Called when items have become ready. */
   readonly onReady: () => void
-  /** Called once, when nothing of the chunk is left to run or to record here. */
+  /** Called once, when this daemon has nothing left to run or to record for the chunk. */
   readonly onEnd: (chunk: Chunk) => void
 }
 
 type Pending = NonNullable<ReturnType<ItemQueue['take']>>
 
-/** A chunk that this daemon holds: its items on their way from waiting over running to recorded. */
+/** A chunk held by this daemon. Tracks its items while they wait, run and are recorded. */
 export class HeldChunk {
   readonly name: string
   private readonly queue = new ItemQueue()
   private readonly running = new Map<number, AbortController>()
-  private readonly record: ChunkRecord
-  private readonly open: Set<number>
-  private readonly closing: Array<() => void> = []
+  private readonly writer: ChunkWriter
+  private readonly unrecorded: Set<number>
+  private readonly releaseWaiters: Array<() => void> = []
   private state: 'running' | 'releasing' | 'ended' = 'running'
-  private paused = false
+  private rechecking = false
   private slots = 0
 
   constructor (readonly options: HeldChunkOptions) {
     const { store, clock, by, items, object } = options
     this.name = object.name
-    this.record = new ChunkRecord({ store, clock, by, items: items.length, object, onChange: () => this.end() })
+    this.writer = new ChunkWriter({ store, clock, by, items: items.length, object, onChange: () => this.end() })
     const recorded = listRecorded(object.value)
-    this.open = new Set(items.keys())
-    for (const item of recorded) this.open.delete(item)
-    for (const item of this.open) this.queue.add(item, { idempotent: items[item]!.idempotent !== false })
+    this.unrecorded = new Set(items.keys())
+    for (const item of recorded) this.unrecorded.delete(item)
+    for (const item of this.unrecorded) this.queue.add(item, { idempotent: items[item]!.idempotent !== false })
   }
 
   get ready (): number {
-    return this.state === 'running' && !this.paused ? this.queue.size.ready + this.queue.size.unmarked : 0
+    return this.state === 'running' && !this.rechecking ? this.queue.size.ready + this.queue.size.unmarked : 0
   }
 
-  get waitingBytes (): number {
-    return this.record.waiting.size
+  get unsavedBytes (): number {
+    return this.writer.waiting.size
   }
 
   get unsaved (): readonly { readonly item: number, readonly result: ItemResult }[] {
-    return this.record.waiting.entries.flatMap(entry => entry.type === 'result' ? [entry] : [])
+    return this.writer.waiting.entries.flatMap(entry => entry.type === 'result' ? [entry] : [])
   }
 
-  /** Has non-idempotent items marked as started, a few ahead, until `slots` items are ready. */
+  /** Marks non-idempotent items as started, a few ahead, until `slots` items are ready. */
   prepare (slots: number): void {
     this.slots = slots
     if (this.state !== 'running') return
@@ -80,7 +81,7 @@
   }
 
   take (): BatchWork | undefined {
-    const pending = this.state === 'running' && !this.paused ? this.queue.take() : undefined
+    const pending = this.state === 'running' && !this.rechecking ? this.queue.take() : undefined
     if (pending === undefined) return undefined
     const { job, items, service } = this.options
     const stop = new AbortController()
@@ -97,26 +98,29 @@
       avoid: pending.avoid,
       idempotent: item.idempotent !== false,
       signal: stop.signal,
-      mayStart: () => this.options.mayStart() && !this.paused,
+      mayStart: () => this.options.mayStart() && !this.rechecking,
       finish: result => this.finish(pending.item, result),
       giveBack: (why, back) => this.takeBack(pending, why, back)
     }
   }
 
-  /** Starts nothing until the chunk was read again and is still held; after a pause it may be another's. */
+  /**
+   * Starts no items until the chunk has been read again and is still held; another daemon may have claimed it during
+   * a pause.
+   */
   async check (): Promise<void> {
-    this.paused = true
-    while (this.state === 'running' && (await this.record.refresh()).err) await this.wait(CHECK_PAUSE)
-    this.paused = false
+    this.rechecking = true
+    while (this.state === 'running' && (await this.writer.refresh()).err) await this.wait(RECHECK_PAUSE)
+    this.rechecking = false
     if (this.ready > 0) this.options.onReady()
   }
 
-  /** Starts nothing more and lets go once what runs has ended. Aborts it first where `abort` says so. */
+  /** Starts no more items, and releases the chunk once the running ones have ended. `abort` aborts them first. */
   async release ({ abort = false } = {}): Promise<void> {
     if (this.state === 'ended') return
     this.state = 'releasing'
-    const released = new Promise<void>(resolve => this.closing.push(resolve))
-    this.queue.drop()
+    const released = new Promise<void>(resolve => this.releaseWaiters.push(resolve))
+    this.queue.clear()
     if (abort) this.abort()
     this.step()
     await released
@@ -124,22 +128,22 @@
 
   private async mark (pending: Pending): Promise<void> {
     const { item } = pending
-    if ((await this.record.add({ type: 'started', item }, { urgent: true })).err) return this.end()
-    if (!this.record.chunk.started.includes(item) || !this.record.held) return
-    this.queue.put(pending)
+    if ((await this.writer.add({ type: 'started', item }, { urgent: true })).err) return this.end()
+    if (!this.writer.chunk.started.includes(item) || !this.writer.isHeld) return
+    this.queue.addMarked(pending)
     this.options.onReady()
   }
 
   private finish (item: number, result: ItemResult): void {
     if (!this.running.delete(item)) return
-    if (this.state !== 'ended') void this.keep(item, limitResult(result))
+    if (this.state !== 'ended') void this.recordResult(item, limitResult(result))
   }
 
-  private async keep (item: number, result: ItemResult): Promise<void> {
-    this.open.delete(item)
-    const kept = this.record.add({ type: 'result', item, result })
+  private async recordResult (item: number, result: ItemResult): Promise<void> {
+    this.unrecorded.delete(item)
+    const recorded = this.writer.add({ type: 'result', item, result })
     this.step()
-    if ((await kept).err) this.end()
+    if ((await recorded).err) this.end()
     else this.step()
   }
 
@@ -149,18 +153,18 @@
     const plan = planRetry({ why, ran, idempotent, attempts: pending.attempts, server })
     if (plan.type === 'finish') return this.finish(pending.item, plan.result)
     this.running.delete(pending.item)
-    if (this.state !== 'running') return this.takeBackLate(pending)
+    if (this.state !== 'running') return this.takeBackWhileReleasing(pending)
     const avoid = why === 'server failed' ? [...pending.avoid, server] : pending.avoid
-    this.putBack({ ...pending, attempts: plan.attempts, avoid, tokens: tokens ?? pending.tokens }, plan.pause)
+    this.requeue({ ...pending, attempts: plan.attempts, avoid, tokens: tokens ?? pending.tokens }, plan.pause)
   }
 
-  /** Given back while letting go: a started mark is taken away, because the item is known not to have run. */
-  private takeBackLate ({ item }: Pending): void {
-    if (this.state === 'releasing' && this.options.items[item]!.idempotent === false) void this.record.add({ type: 'not started', item })
+  /** Removes the started mark of an item that is given back during the release, since it is known not to have run. */
+  private takeBackWhileReleasing ({ item }: Pending): void {
+    if (this.state === 'releasing' && this.options.items[item]!.idempotent === false) void this.writer.add({ type: 'not started', item })
     this.step()
   }
 
-  private putBack (pending: Pending, pause: number): void {
+  private requeue (pending: Pending, pause: number): void {
     const makeReady = this.queue.delay(pending, { front: pause === 0 })
     this.options.clock.after(pause, () => {
       if (this.state !== 'running') return
@@ -169,17 +173,20 @@
     })
   }
 
-  /** Records without waiting for more once nothing is left to run, and lets go where that is asked for. */
+  /**
+   * Once no item runs: writes the results at once if every item has one, and otherwise releases the chunk if
+   * requested.
+   */
   private step (): void {
     if (this.state === 'ended' || this.running.size > 0) return
-    if (this.open.size === 0) this.record.flush()
-    if (this.state === 'releasing' && this.open.size > 0) void this.letGo()
+    if (this.unrecorded.size === 0) this.writer.flush()
+    if (this.state === 'releasing' && this.unrecorded.size > 0) void this.releaseClaim()
   }
 
-  private async letGo (): Promise<void> {
-    this.open.clear()
-    for (const item of this.queue.listMarked()) void this.record.add({ type: 'not started', item })
-    await this.record.add({ type: 'released' }, { urgent: true })
+  private async releaseClaim (): Promise<void> {
+    this.unrecorded.clear()
+    for (const item of this.queue.listMarked()) void this.writer.add({ type: 'not started', item })
+    await this.writer.add({ type: 'released' }, { urgent: true })
     this.end()
   }
 
@@ -190,10 +197,10 @@
   private end (): void {
     if (this.state === 'ended') return
     this.state = 'ended'
-    this.queue.drop()
+    this.queue.clear()
     this.abort()
-    this.options.onEnd(this.record.chunk)
-    for (const resolve of this.closing) resolve()
+    this.options.onEnd(this.writer.chunk)
+    for (const resolve of this.releaseWaiters) resolve()
   }
 
   private async wait (time: number): Promise<void> {
--- a/src/batch/job-settler.ts
+++ b/src/batch/job-finalizer.ts
@@ -7,41 +7,41 @@
 import type { Counts } from './counts.js'
 import { HoldingRecord } from './holding-record.js'
 import type { Job } from './job.js'
-import { JobEnds } from './job-ends.js'
+import { JobOutcomes } from './job-outcomes.js'
 import { JobStore } from './job-store.js'
 import { listChunks } from './list-chunks.js'
 import { WorkIndex } from './work-index.js'
 
-/** Time in ms for which the holders of a cancelled job's chunks may still record what had run. */
+/** ms for which holders of a cancelled job's chunks may still record results. */
 const HOLDER_GRACE = 10_000
 
 /**
- * Brings a cancelled job to its end: closes each chunk that isn't finished, so that its counts are final and no
- * holder that was paused or cut off can record in it, and gives the job the counts. Chunks that nobody had claimed
- * are created closed, because a claim that is on its way must fail. Any daemon may do it, also several at once.
+ * Ends a cancelled job: closes every unfinished chunk, so that its counts are final and no holder that was paused or
+ * disconnected can record in it, and adds the counts to the job. Unclaimed chunks are created closed, so that a claim
+ * in progress fails. Several daemons may do this at the same time.
  */
 @scoped(Lifecycle.ContainerScoped)
-export class JobSettler {
+export class JobFinalizer {
   constructor (
     @inject(tokens.store) private readonly store: ObjectStore,
     @inject(tokens.clock) private readonly clock: Clock,
     @inject(JobStore) private readonly jobs: JobStore,
     @inject(WorkIndex) private readonly work: WorkIndex,
     @inject(HoldingRecord) private readonly holding: HoldingRecord,
-    @inject(JobEnds) private readonly ends: JobEnds
+    @inject(JobOutcomes) private readonly outcomes: JobOutcomes
   ) {}
 
-  /** One pass; says whether the job has come to its end. */
-  async settle (job: Job): Promise<boolean> {
+  /** Makes one pass; returns whether the job has ended. */
+  async finalize (job: Job): Promise<boolean> {
     const closed = new Map<number, Counts>()
     for (const { n, items } of listChunks(job.services)) {
       if (job.finished[n] !== undefined) continue
       const counts = await this.close(job, n, items)
       if (counts !== undefined) closed.set(n, counts)
     }
-    const told = await this.jobs.update(job.id, job => this.ends.apply(job, closed))
-    if (told.err || told.val.ended === undefined) return false
-    this.ends.count(told.val)
+    const updated = await this.jobs.update(job.id, job => this.outcomes.apply(job, closed))
+    if (updated.err || updated.val.ended === undefined) return false
+    this.outcomes.count(updated.val)
     for (const { service } of job.services) {
       const removed = await this.work.remove({ job: job.id, service, due: job.due })
       if (removed.err) return false
@@ -49,14 +49,14 @@
     return true
   }
 
-  /** The final counts of the chunk, or nothing where it has to be tried again. */
+  /** Returns the final counts of the chunk, or undefined if it has to be tried again. */
   private async close (job: Job, n: number, items: number): Promise<Counts | undefined> {
     const name = `${job.id}.${n}`
     const read = await this.store.get<Chunk>('chunk', name)
     if (read.err && read.val.type !== 'missing') return undefined
     const chunk: Chunk = read.ok ? read.val.value : { results: {}, parts: [], started: [] }
     if (chunk.closed === undefined && chunk.holder !== undefined && this.clock.date() - (job.cancelled ?? 0) < HOLDER_GRACE) return undefined
-    const next = closeChunk(chunk, { items, by: this.holding.by })
+    const next = closeChunk(chunk, { items, by: this.holding.incarnation })
     if (next !== chunk && (await this.store.put('chunk', name, next, read.ok ? read.val.version : 0)).err) return undefined
     const { completed, failed, cancelled } = next.closed!
     return { completed, failed, cancelled }
--- a/src/batch/job-watch.ts
+++ b/src/batch/job-watch.ts
@@ -10,12 +10,13 @@
 import { JobStore } from './job-store.js'
 import { mayStart } from '../coordination/may-start.js'
 
-const CHECK_PERIOD = 2_000
+/** ms between checks of all jobs. */
+const READ_PERIOD = 2_000
 
-/** Looks at the jobs that this daemon holds chunks of, and tells when one has been cancelled. */
+/** Checks whether the jobs of held chunks are still in progress, and notifies listeners when one no longer is. */
 @scoped(Lifecycle.ContainerScoped)
 export class JobWatch implements Part {
-  private readonly checks = new Map<string, LastRead>()
+  private readonly lastReads = new Map<string, LastRead>()
   private readonly listeners = new Set<(job: string) => void>()
   private cancelTimer = (): void => {}
 
@@ -26,45 +27,45 @@
     @inject(PauseWatch) private readonly pauses: PauseWatch
   ) {
     pauses.subscribe(() => {
-      for (const job of [...this.checks.keys()]) {
-        this.checks.set(job, { unreachable: false })
+      for (const job of [...this.lastReads.keys()]) {
+        this.lastReads.set(job, { unreachable: false })
         void this.check(job)
       }
     })
   }
 
   async start (): Promise<void> {
-    this.cancelTimer = this.clock.every(CHECK_PERIOD, () => { void this.checkAll() })
+    this.cancelTimer = this.clock.every(READ_PERIOD, () => { void this.checkAll() })
   }
 
   async stop (): Promise<void> {
     this.cancelTimer()
   }
 
-  /** `listener` hears of each job that goes on no longer. */
+  /** Calls `listener` with each job that is no longer in progress. */
   subscribe (listener: (job: string) => void): void {
     this.listeners.add(listener)
   }
 
   remove (job: string): void {
-    this.checks.delete(job)
+    this.lastReads.delete(job)
   }
 
-  watches (job: string): boolean {
-    return this.checks.has(job)
+  isWatching (job: string): boolean {
+    return this.lastReads.has(job)
   }
 
-  /** Whether items of the job may start now. */
+  /** Returns whether items of the job may start now. */
   mayStart (job: string): boolean {
     this.pauses.check()
-    const check = this.checks.get(job)
-    return check !== undefined && mayStart(check, this.clock.now())
+    const lastRead = this.lastReads.get(job)
+    return lastRead !== undefined && mayStart(lastRead, this.clock.now())
   }
 
   /**
-   * Looks at the job now, and from here on until it is removed; gives it back if it goes on. A look that a pause fell into
-   * is repeated. Its answer may be from before the pause; kept, and followed by a look that fails, it passed for one from
-   * before an outage, and the items of a job cancelled meanwhile went on for the 60 s that an outage is granted.
+   * Reads the job now, and checks it until it is removed; returns it if it is in progress. A read during which the
+   * process was paused is repeated, because its result may predate the pause. Kept, and followed by a failed read, it
+   * would look like the beginning of an outage, and items of a job cancelled meanwhile would start for another 60 s.
    */
   async check (job: string): Promise<Job | undefined> {
     const { count } = this.pauses
@@ -73,29 +74,29 @@
     this.pauses.check()
     if (count !== this.pauses.count) return await this.check(job)
     if (read.err && read.val.type !== 'missing') {
-      this.checks.set(job, { ...this.checks.get(job), unreachable: read.val.type === 'unavailable' })
+      this.lastReads.set(job, { ...this.lastReads.get(job), unreachable: read.val.type === 'unavailable' })
       return undefined
     }
     if (read.ok && read.val.status === 'in_progress') {
-      this.checks.set(job, { seen, unreachable: false })
+      this.lastReads.set(job, { seen, unreachable: false })
       return read.val
     }
-    this.checks.delete(job)
+    this.lastReads.delete(job)
     for (const listener of this.listeners) listener(job)
     return undefined
   }
 
-  /** Asks for what was cancelled of late, once for all jobs, and looks at those that are named or aren't known. */
+  /** Lists recent cancellations once for all jobs, and reads the jobs that are listed or whose state is unknown. */
   private async checkAll (): Promise<void> {
     this.pauses.check()
-    if (this.checks.size === 0) return
+    if (this.lastReads.size === 0) return
     const seen = this.clock.now()
     const cancelled = await this.cancelled.list()
     this.pauses.check()
-    for (const [job, check] of [...this.checks]) {
-      if (cancelled.err) this.checks.set(job, { ...check, unreachable: cancelled.val.type === 'unavailable' })
-      else if (cancelled.val.full || cancelled.val.jobs.has(job) || check.seen === undefined) void this.check(job)
-      else this.checks.set(job, { seen: Math.max(seen, check.seen), unreachable: false })
+    for (const [job, lastRead] of [...this.lastReads]) {
+      if (cancelled.err) this.lastReads.set(job, { ...lastRead, unreachable: cancelled.val.type === 'unavailable' })
+      else if (cancelled.val.full || cancelled.val.jobs.has(job) || lastRead.seen === undefined) void this.check(job)
+      else this.lastReads.set(job, { seen: Math.max(seen, lastRead.seen), unreachable: false })
     }
   }
 }
--- a/src/batch/read-job-request.ts
+++ b/src/batch/read-job-request.ts
@@ -8,17 +8,17 @@
 interface JobRequest {
   readonly file: string
   readonly endpoint: string
-  /** Time until it is due, in ms. */
+  /** Time in ms until the job is due. */
   readonly window: number
   readonly metadata?: Readonly<Record<string, string>>
 }
 
-/** Reads the body of a request for a job, or says everything that is wrong with it. */
+/** Parses the body of a request for a job, or returns all errors in it. */
 export function readJobRequest (body: Buffer): Result<JobRequest, readonly string[]> {
   const value = readObject(body)
   if (value === undefined) return Err(['the body must be a JSON object'])
-  const { input_file_id: file, endpoint, completion_window: asked = DEFAULT_WINDOW, metadata } = value
-  const window = WINDOW.exec(String(asked))
+  const { input_file_id: file, endpoint, completion_window: requestedWindow = DEFAULT_WINDOW, metadata } = value
+  const window = WINDOW.exec(String(requestedWindow))
   const findings = [
     typeof file === 'string' ? '' : 'input_file_id: must be the id of a file',
     typeof endpoint === 'string' ? '' : 'endpoint: must be a path',
@@ -41,5 +41,5 @@
 
 function isMetadata (value: unknown): boolean {
   if (value === undefined || value === null) return true
-  return typeof value === 'object' && !Array.isArray(value) && Object.values(value).every(one => typeof one === 'string')
+  return typeof value === 'object' && !Array.isArray(value) && Object.values(value).every(entry => typeof entry === 'string')
 }
--- a/src/batch/record-entries.ts
+++ b/src/batch/record-entries.ts
@@ -7,9 +7,9 @@
 import { listRecorded } from './list-recorded.js'
 
 /**
- * The chunk with `entries` recorded by `by`. The first recorded result of an item stands. Without the first-wins
- * rule a holder that was paused past its claim overwrites what its successor recorded, and its caller reads two
- * different results; with it, late results fill only what is still open. Marks count only from the holder itself.
+ * Returns the chunk with `entries` of `by` recorded. The first recorded result of an item wins: otherwise a holder
+ * that was paused beyond its claim could overwrite the results of its successor, and a caller would read two
+ * different results. Started marks and releases are applied only if they come from the holder.
  */
 export function recordEntries (chunk: Chunk, entries: readonly ChunkEntry[], { items, by }: { readonly items: number, readonly by: Incarnation }): Chunk {
   if (chunk.closed !== undefined) return chunk
@@ -18,12 +18,12 @@
 }
 
 function recordEntry (chunk: Chunk, entry: ChunkEntry, by: Incarnation): Chunk {
-  const mine = isHolder(chunk, by)
+  const byHolder = isHolder(chunk, by)
   switch (entry.type) {
     case 'result': return listRecorded(chunk).has(entry.item) ? chunk : { ...chunk, results: { ...chunk.results, [entry.item]: entry.result } }
-    case 'started': return mine && !chunk.started.includes(entry.item) ? { ...chunk, started: [...chunk.started, entry.item] } : chunk
-    case 'not started': return mine ? { ...chunk, started: chunk.started.filter(item => item !== entry.item) } : chunk
-    case 'released': return mine ? { ...chunk, holder: undefined } : chunk
+    case 'started': return byHolder && !chunk.started.includes(entry.item) ? { ...chunk, started: [...chunk.started, entry.item] } : chunk
+    case 'not started': return byHolder ? { ...chunk, started: chunk.started.filter(item => item !== entry.item) } : chunk
+    case 'released': return byHolder ? { ...chunk, holder: undefined } : chunk
     default: return failUnreachable(entry)
   }
 }
--- a/src/batch/work-finder.ts
+++ b/src/batch/work-finder.ts
@@ -14,25 +14,28 @@
 import type { WorkEntry } from './work-entry.js'
 import { WorkIndex } from './work-index.js'
 
+/** ms for which a job or chunk is skipped after it could not be claimed. */
 const BUSY_PAUSE = 5_000
+/** Jobs read in one search. */
 const MAX_JOBS = 6
+/** Chunks of a job tried in one search. */
 const MAX_PROBES = 8
 
-type Place = ReturnType<typeof listChunks>[number]
+type NumberedChunk = ReturnType<typeof listChunks>[number]
 
 /** A chunk that may be free to claim. */
-interface Candidate { readonly job: Job, readonly place: Place }
+interface Candidate { readonly job: Job, readonly chunk: NumberedChunk }
 
 /**
- * Finds chunks to claim, in the order of jobs. A look reads one page of the index, at most six jobs and eight chunks
- * of each; what turned out to be taken is left alone for five seconds, so that daemons without work don't wear the
- * platform out.
+ * Finds chunks to claim, in the order of jobs. A search reads one page of the index, at most `MAX_JOBS` jobs and
+ * `MAX_PROBES` chunks of each. Chunks that turn out to be held are skipped for `BUSY_PAUSE`, to limit the load of
+ * idle daemons on the platform.
  */
 @scoped(Lifecycle.ContainerScoped)
 export class WorkFinder {
   private readonly busy = new Map<string, number>()
-  private readonly rest = new Map<string, number>()
-  private readonly use = new RecentUsage()
+  private readonly remainingTimes = new Map<string, number>()
+  private readonly usage = new RecentUsage()
 
   constructor (
     @inject(WorkIndex) private readonly work: WorkIndex,
@@ -43,34 +46,34 @@
   ) {}
 
   /** Counts an item that was taken, for its caller and its job. */
-  countUse (caller: string, job: string): void {
-    this.use.add(caller, 1, this.clock.now())
-    this.use.add(job, 1, this.clock.now())
+  countUsage (caller: string, job: string): void {
+    this.usage.add(caller, 1, this.clock.now())
+    this.usage.add(job, 1, this.clock.now())
   }
 
-  /** Leaves a job or chunk alone for a while. */
-  putAside (name: string): void {
+  /** Skips a job or chunk for `BUSY_PAUSE`. */
+  markBusy (name: string): void {
     this.busy.set(name, this.clock.now() + BUSY_PAUSE)
   }
 
-  /** Tries again what was put aside: there is news of free chunks. */
-  forgetBusy (): void {
+  /** Considers all jobs and chunks again, after an announcement of free chunks. */
+  clearBusy (): void {
     this.busy.clear()
-    this.rest.clear()
+    this.remainingTimes.clear()
   }
 
   async * find (service: string, held: HeldChunks): AsyncGenerator<Candidate> {
-    this.dropOld()
+    this.pruneExpired()
     const entries = await this.work.list(service)
     if (entries.err) return
     const open = this.orderEntries(entries.val.filter(entry => entry.service === service && !this.busy.has(entry.job)))
     for (const { job: id } of open.slice(0, MAX_JOBS)) {
       const job = await this.jobs.check(id)
       if (job === undefined) continue
-      this.rest.set(id, estimateRemainingTime(job, this.clock.date()))
-      for (const place of this.choosePlaces(job, service, held)) yield { job, place }
-      this.putAside(id)
-      if (held.ofJob(id).length === 0) this.jobs.remove(id)
+      this.remainingTimes.set(id, estimateRemainingTime(job, this.clock.date()))
+      for (const chunk of this.chooseChunks(job, service, held)) yield { job, chunk }
+      this.markBusy(id)
+      if (held.listByJob(id).length === 0) this.jobs.remove(id)
     }
   }
 
@@ -79,29 +82,32 @@
     return orderJobs(entries, {
       date: this.clock.date(),
       share: caller => this.configuration.value.callers[caller]?.share ?? 1,
-      used: name => this.use.get(name, now),
-      estimate: ({ job }) => this.rest.get(job) ?? 0
+      used: name => this.usage.get(name, now),
+      estimate: ({ job }) => this.remainingTimes.get(job) ?? 0
     })
   }
 
-  /** Open chunks, those first that fall to this daemon by hashing, so that daemons seldom try for the same one. */
-  private choosePlaces (job: Job, service: string, held: HeldChunks): readonly Place[] {
-    const open = listChunks(job.services).filter(place => {
-      const name = `${job.id}.${place.n}`
-      return place.service === service && job.finished[place.n] === undefined && !held.has(name) && !this.busy.has(name)
+  /**
+   * Returns unfinished chunks, starting at one chosen by hashing for this daemon, so that daemons seldom try to claim
+   * the same one.
+   */
+  private chooseChunks (job: Job, service: string, held: HeldChunks): readonly NumberedChunk[] {
+    const open = listChunks(job.services).filter(chunk => {
+      const name = `${job.id}.${chunk.n}`
+      return chunk.service === service && job.finished[chunk.n] === undefined && !held.has(name) && !this.busy.has(name)
     })
-    const first = rankOwners(this.holding.by.instance, open.map(({ n }) => String(n)))[0]
+    const first = rankOwners(this.holding.incarnation.instance, open.map(({ n }) => String(n)))[0]
     const start = open.findIndex(({ n }) => String(n) === first)
     return [...open.slice(start), ...open.slice(0, Math.max(0, start))].slice(0, MAX_PROBES)
   }
 
-  private dropOld (): void {
+  private pruneExpired (): void {
     const now = this.clock.now()
-    this.use.drop(now)
+    this.usage.prune(now)
     for (const [name, until] of this.busy) {
       if (until > now) continue
       this.busy.delete(name)
-      this.rest.delete(name)
+      this.remainingTimes.delete(name)
     }
   }
 }
--- a/test/batch/takeover.test.ts
+++ b/test/batch/takeover.test.ts
@@ -1,35 +1,37 @@
 import 'reflect-metadata'
 import test from 'ava'
-import { Recovery } from '../../src/batch/recovery.js'
+import { ClaimRecovery } from '../../src/batch/claim-recovery.js'
 import { Timeline } from '../../src/observe/timeline.js'
-import { createTrialJob } from './helpers/create-trial-job.js'
-import { Trial } from './helpers/trial.js'
+import { createTestJob } from './helpers/create-test-job.js'
+import { Simulation } from './helpers/simulation.js'
 
 const STEP = 100
 
-/** Two looks for holders that nobody remembers, and a few calls to the platform: to free the chunk, to end a look, to claim it. */
+/**
+ * Two checks for unknown holders, and a few calls to the platform to free the chunk, finish a search and claim the
+ * chunk.
+ */
 function findBound (call: number): number {
   return 2 * 4_000 + 1_000 + 20 * call
 }
 
 async function measureTakeover (killAt: number, call: number): Promise<number> {
-  const trial = await new Trial({ runTime: 200 }).start(2)
-  await createTrialJob(trial.daemons[0]!, { count: 200, idempotent: i => i % 2 === 0 })
-  for (const { store } of trial.daemons) store.delay = call
-  await trial.clock.advance(killAt)
-  while (trial.runs.length === 0) await trial.clock.advance(STEP)
-  const holder = trial.runs[0]!.daemon
-  trial.kill(trial.daemons.findIndex(({ name }) => name === holder))
-  const killed = trial.clock.now()
-  const isTaken = (): boolean => trial.runs.some(({ daemon }) => daemon !== holder)
-  while (!isTaken() && trial.clock.now() < killed + 70_000) await trial.clock.advance(STEP)
-  return trial.clock.now() - killed
+  const simulation = await new Simulation({ runTime: 200 }).start(2)
+  await createTestJob(simulation.daemons[0]!, { count: 200, idempotent: i => i % 2 === 0 })
+  for (const { store } of simulation.daemons) store.delay = call
+  await simulation.clock.advance(killAt)
+  while (simulation.runs.length === 0) await simulation.clock.advance(STEP)
+  const holder = simulation.runs[0]!.daemon
+  simulation.kill(simulation.daemons.findIndex(({ name }) => name === holder))
+  const killed = simulation.clock.now()
+  const isTaken = (): boolean => simulation.runs.some(({ daemon }) => daemon !== holder)
+  while (!isTaken() && simulation.clock.now() < killed + 70_000) await simulation.clock.advance(STEP)
+  return simulation.clock.now() - killed
 }
 
-// What the caller sees: a job that stands still after a daemon was killed. Another daemon frees the chunk and looks for
-// work; a look that was on its way had read the chunk as held and put it aside. Whenever in the course of such looks
-// the holder dies, its chunk runs again as soon as the calls to the platform allow.
-test('a dead daemon\'s chunk is taken over within a bound, whenever it dies', async t => {
+// A search in progress may have read the chunk as held and marked it busy. Guards against a takeover that waits for
+// the next search.
+test('a dead daemon\'s chunk is taken over within a bound, whenever the daemon is killed', async t => {
   for (const call of [100, 130, 170, 210]) {
     const times: number[] = []
     for (let killAt = 0; killAt < 6_000; killAt += STEP) times.push(await measureTakeover(killAt, call))
@@ -38,27 +40,27 @@
   }
 })
 
-// What the caller sees: the same, but the chunk was let go by a daemon that lives, which tells the others. The news may
-// come in the middle of another's look, which has read the chunk as held by then and puts it aside for five seconds.
-test('news of a freed chunk isn\'t lost on a daemon that is looking just then', async t => {
+// The announcement may arrive during a search that has already read the chunk as held. Guards against the chunk being
+// skipped.
+test('the announcement of a freed chunk isn\'t lost on a daemon that is searching', async t => {
   const call = 300
   const times: number[] = []
   for (let freedAt = 1_500; freedAt < 8_000; freedAt += STEP) {
-    const trial = await new Trial({ runTime: 200 }).start(2)
-    await createTrialJob(trial.daemons[0]!, { count: 200 })
-    await trial.clock.advance(1_000)
-    const other = trial.daemons.findIndex(({ name }) => name !== trial.runs[0]!.daemon)
-    const { clock, name } = trial.daemons[1 - other]!
+    const simulation = await new Simulation({ runTime: 200 }).start(2)
+    await createTestJob(simulation.daemons[0]!, { count: 200 })
+    await simulation.clock.advance(1_000)
+    const other = simulation.daemons.findIndex(({ name }) => name !== simulation.runs[0]!.daemon)
+    const { clock, name } = simulation.daemons[1 - other]!
     clock.freeze()
-    trial.daemons[other]!.store.delay = call
-    await trial.clock.advance(freedAt)
-    const timeline = new Timeline(trial.clock, { instance: 'test' } as ConstructorParameters<typeof Timeline>[1])
-    t.true(await new Recovery(trial.store, timeline).recover(name))
-    trial.daemons[other]!.source.lookAgain()
-    const freed = trial.clock.now()
-    while (!trial.runs.some(({ daemon }) => daemon !== name) && trial.clock.now() < freed + 70_000) await trial.clock.advance(STEP)
-    times.push(trial.clock.now() - freed)
+    simulation.daemons[other]!.store.delay = call
+    await simulation.clock.advance(freedAt)
+    const timeline = new Timeline(simulation.clock, { instance: 'test' } as ConstructorParameters<typeof Timeline>[1])
+    t.true(await new ClaimRecovery(simulation.store, timeline).recover(name))
+    simulation.daemons[other]!.source.searchAgain()
+    const freed = simulation.clock.now()
+    while (!simulation.runs.some(({ daemon }) => daemon !== name) && simulation.clock.now() < freed + 70_000) await simulation.clock.advance(STEP)
+    times.push(simulation.clock.now() - freed)
   }
-  t.log(`claimed ${Math.min(...times)} to ${Math.max(...times)} ms after the news`)
+  t.log(`claimed ${Math.min(...times)} to ${Math.max(...times)} ms after the announcement`)
   t.true(Math.max(...times) <= 12 * call)
 })
