--- a/src/http/is-address-gone.ts
+++ b/src/http/is-address-gone.ts
@@ -3,11 +3,11 @@
 const TIMEOUT = 250
 const ATTEMPTS = 10
 /** Between attempts, ms. */
-const PAUSE = 20
+const RETRY_DELAY = 20
 /** Asked nothing, a process lives if it keeps the connection open for this long, ms. */
-const STAYS_OPEN = 40
+const MIN_OPEN_TIME = 40
 
-interface AskedAddress {
+interface ProbedAddress {
   readonly host: string
   readonly port: number
   /** What a process that lives answers. Left out, it need only keep the connection open. */
@@ -22,24 +22,24 @@
  * @example
  * if (await isAddressGone({ host: '10.0.0.2', port: 7420 })) members.remove('entry-2')
  */
-export async function isAddressGone (address: AskedAddress): Promise<boolean> {
+export async function isAddressGone (address: ProbedAddress): Promise<boolean> {
   for (let attempt = 0; attempt < ATTEMPTS; attempt++) {
-    const outcome = await ask(address)
+    const outcome = await checkConnection(address)
     if (outcome !== 'closed') return outcome === 'refused'
-    await new Promise(resolve => setTimeout(resolve, PAUSE))
+    await new Promise(resolve => setTimeout(resolve, RETRY_DELAY))
   }
   return false
 }
 
-async function ask ({ host, port, probe: question }: AskedAddress): Promise<'alive' | 'silent' | 'closed' | 'refused'> {
+async function checkConnection ({ host, port, probe }: ProbedAddress): Promise<'alive' | 'silent' | 'closed' | 'refused'> {
   return await new Promise(resolve => {
     const socket = connect({ host, port, timeout: TIMEOUT })
     const settle = (outcome: 'alive' | 'silent' | 'closed' | 'refused'): void => {
       socket.destroy()
       resolve(outcome)
     }
-    if (question === undefined) socket.once('connect', () => setTimeout(() => settle('alive'), STAYS_OPEN))
-    else socket.write(question)
+    if (probe === undefined) socket.once('connect', () => setTimeout(() => settle('alive'), MIN_OPEN_TIME))
+    else socket.write(probe)
     socket.once('data', () => settle('alive'))
     socket.once('close', () => settle('closed'))
     // A loop that is late runs timers before what has come in: what waits is read before silence is believed.
--- a/src/kernel/pause-watch.ts
+++ b/src/kernel/pause-watch.ts
@@ -6,7 +6,7 @@
 
 /** Well below the pause that is looked for, and together with the other periodic tasks: each tick wakes the process. */
 const TICK_PERIOD = 250
-const PAUSE = 1_500
+const MIN_PAUSE = 1_500
 
 /**
  * Notices that the process stood still. A daemon that was frozen past its leases goes on, when it thaws, with
@@ -20,18 +20,18 @@
 export class PauseWatch implements Part {
   /** Pauses noticed so far: what was asked for under another count may be from before a pause. */
   count = 0
-  private last: number
+  private lastTime: number
   private lastDate: number
   private cancel = (): void => {}
   private readonly listeners = new Set<(gap: number) => void>()
 
   constructor (@inject(tokens.clock) private readonly clock: Clock) {
-    this.last = clock.now()
+    this.lastTime = clock.now()
     this.lastDate = clock.date()
   }
 
   async start (): Promise<void> {
-    this.last = this.clock.now()
+    this.lastTime = this.clock.now()
     this.lastDate = this.clock.date()
     this.cancel = this.clock.every(TICK_PERIOD, () => this.check())
   }
@@ -43,10 +43,10 @@
   /** Tells the listeners, before it returns, if the process has stood still since the last check. */
   check (): void {
     const [now, date] = [this.clock.now(), this.clock.date()]
-    const gap = Math.max(now - this.last, date - this.lastDate)
-    this.last = now
+    const gap = Math.max(now - this.lastTime, date - this.lastDate)
+    this.lastTime = now
     this.lastDate = date
-    if (gap <= PAUSE) return
+    if (gap <= MIN_PAUSE) return
     this.count++
     for (const listener of this.listeners) listener(gap)
   }
--- a/src/kernel/periodic-tasks.ts
+++ b/src/kernel/periodic-tasks.ts
@@ -3,7 +3,7 @@
 interface Task { readonly period: number, readonly run: () => void, due: number }
 
 /** Timers may fire a little before the ms they were set for. */
-const EARLY = 1
+const TIMER_TOLERANCE = 1
 
 /**
  * Runs all periodic tasks of a process from one timer, each at the multiples of its period, so that tasks of 100, 250
@@ -12,7 +12,7 @@
  */
 export class PeriodicTasks {
   private readonly tasks = new Set<Task>()
-  private armed = Infinity
+  private armedFor = Infinity
   private cancel = (): void => {}
 
   constructor (private readonly clock: Pick<Clock, 'now' | 'after'>) {}
@@ -29,23 +29,23 @@
     this.tasks.delete(task)
     if (this.tasks.size > 0) return
     this.cancel()
-    this.armed = Infinity
+    this.armedFor = Infinity
   }
 
   private arm (): void {
     const due = Math.min(...[...this.tasks].map(({ due }) => due))
-    if (due >= this.armed || due === Infinity) return
+    if (due >= this.armedFor || due === Infinity) return
     this.cancel()
-    this.armed = due
+    this.armedFor = due
     this.cancel = this.clock.after(Math.max(0, due - this.clock.now()), () => this.runDue())
   }
 
   /** The next wake-up is set before a task can throw: the others go on whatever one of them does. */
   private runDue (): void {
-    const now = this.clock.now() + EARLY
+    const now = this.clock.now() + TIMER_TOLERANCE
     const due = [...this.tasks].filter(task => task.due <= now)
     for (const task of due) task.due = findDue(now, task.period)
-    this.armed = Infinity
+    this.armedFor = Infinity
     this.arm()
     for (const task of due) if (this.tasks.has(task)) task.run()
   }
--- a/src/kernel/settings-watch.ts
+++ b/src/kernel/settings-watch.ts
@@ -3,7 +3,7 @@
 import type { Clock } from './clock.js'
 
 /** Between two looks at the file, ms: it may change without a word, and nobody waits for it within seconds. */
-const PERIOD = 2_000
+const POLL_PERIOD = 2_000
 
 interface SettingsWatchOptions {
   readonly file: string
@@ -23,7 +23,7 @@
       options.log.write('info', 'kernel', 'was told of new settings', { file: options.file })
       this.check()
     })
-    options.clock.every(PERIOD, () => this.check())
+    options.clock.every(POLL_PERIOD, () => this.check())
   }
 
   private check (): void {
--- a/src/kernel/suggest-word.ts
+++ b/src/kernel/suggest-word.ts
@@ -1,4 +1,4 @@
-const FARTHEST = 3
+const MAX_DISTANCE = 3
 
 /**
  * The known word nearest to a wrong one by edit distance, if any is near enough to be meant.
@@ -8,7 +8,7 @@
  */
 export function suggestWord (wrong: string, known: readonly string[]): string | undefined {
   const ranked = known.map(word => ({ word, distance: countEdits(wrong, word) })).sort((a, b) => a.distance - b.distance)
-  return ranked[0] !== undefined && ranked[0].distance <= Math.min(FARTHEST, wrong.length - 1) ? ranked[0].word : undefined
+  return ranked[0] !== undefined && ranked[0].distance <= Math.min(MAX_DISTANCE, wrong.length - 1) ? ranked[0].word : undefined
 }
 
 function countEdits (a: string, b: string): number {
--- a/src/load/plan-arrivals.ts
+++ b/src/load/plan-arrivals.ts
@@ -13,8 +13,8 @@
   const highest = Math.max(plan.rate, plan.burst.rate)
   const arrivals: Arrival[] = []
   if (highest <= 0) return arrivals
-  const pause = (): number => -Math.log(1 - random.next()) * MS_PER_SECOND / highest
-  for (let at = pause(); at < plan.duration; at += pause()) {
+  const drawInterval = (): number => -Math.log(1 - random.next()) * MS_PER_SECOND / highest
+  for (let at = drawInterval(); at < plan.duration; at += drawInterval()) {
     // Thinning: candidates come at the highest rate and each is kept by the chance that its moment's rate gives.
     if (random.next() < readRate(plan, at) / highest) arrivals.push(planArrival(plan, at, arrivals.length, random))
   }
@@ -26,9 +26,9 @@
   return inBurst ? burst.rate : rate
 }
 
-function planArrival (plan: LoadPlan, at: number, n: number, random: Random): Arrival {
-  const id = `load-${plan.seed}-${n}`
-  const words = Array.from({ length: chooseBetween(plan.promptWords, random) }, (_, i) => `word${(n * 7 + i) % 97}`)
+function planArrival (plan: LoadPlan, at: number, index: number, random: Random): Arrival {
+  const id = `load-${plan.seed}-${index}`
+  const words = Array.from({ length: chooseBetween(plan.promptWords, random) }, (_, i) => `word${(index * 7 + i) % 97}`)
   return {
     at,
     id,
--- a/src/load/run-load.ts
+++ b/src/load/run-load.ts
@@ -4,7 +4,7 @@
 import type { LoadOutcome } from './load-outcome.js'
 import { sendArrival } from './send-arrival.js'
 
-const SLOT = 2
+const TICK_PERIOD = 2
 const MS_PER_SECOND = 1_000
 
 /** How a load run is sent. `urls` is asked for each request, so that addresses may change on the way. */
@@ -32,7 +32,7 @@
       if (sent.length < arrivals.length) return
       clearInterval(timer)
       resolve()
-    }, SLOT)
+    }, TICK_PERIOD)
   })
   const outcomes = await Promise.all(sent)
   await dispatcher.destroy()
@@ -43,8 +43,8 @@
 async function sendUntilAnswered (arrival: Arrival, turn: number, { urls, model, sends = 1 }: LoadOptions, dispatcher: Dispatcher): Promise<LoadOutcome> {
   const start = performance.now()
   for (let send = 1; ; send++) {
-    const known = urls()
-    const outcome = await sendArrival(arrival, { url: known[(turn + send) % known.length]!, model, dispatcher })
+    const addresses = urls()
+    const outcome = await sendArrival(arrival, { url: addresses[(turn + send) % addresses.length]!, model, dispatcher })
     const before = performance.now() - start - outcome.total
     const whole = { ...outcome, sends: send, total: outcome.total + before, ...(outcome.firstToken === undefined ? {} : { firstToken: outcome.firstToken + before }) }
     if (outcome.outcome === 'answered' || send >= sends) return whole
--- a/src/store/circuit.ts
+++ b/src/store/circuit.ts
@@ -2,12 +2,12 @@
 interface CircuitOptions {
   /** Calls in a row without an answer that open it, once nothing has been answered for `pause`. */
   readonly failures?: number
-  readonly pause?: number
+  readonly quietTime?: number
   /** Two of them are enough when nothing has been answered for this long. */
-  readonly silence?: number
-  readonly firstProbe?: number
+  readonly longQuietTime?: number
+  readonly firstProbeDelay?: number
   /** Longest pause between two probes: what a daemon knows is as old as that when the platform is back. */
-  readonly lastProbe?: number
+  readonly maxProbeDelay?: number
 }
 
 /**
@@ -25,8 +25,8 @@
   private readonly options: Required<CircuitOptions>
   open = false
 
-  constructor (now: number, { failures = 5, pause = 300, silence = 1_500, firstProbe = 250, lastProbe = 3_000 }: CircuitOptions = {}) {
-    this.options = { failures, pause, silence, firstProbe, lastProbe }
+  constructor (now: number, { failures = 5, quietTime = 300, longQuietTime = 1_500, firstProbeDelay = 250, maxProbeDelay = 3_000 }: CircuitOptions = {}) {
+    this.options = { failures, quietTime, longQuietTime, firstProbeDelay, maxProbeDelay }
     this.answeredAt = now
   }
 
@@ -44,15 +44,15 @@
   onFailure (now: number): boolean {
     this.failures++
     if (this.open) return false
-    const { failures, pause, silence } = this.options
+    const { failures, quietTime, longQuietTime } = this.options
     const quiet = now - this.answeredAt
-    this.open = (this.failures >= failures && quiet >= pause) || (this.failures >= 2 && quiet >= silence)
+    this.open = (this.failures >= failures && quiet >= quietTime) || (this.failures >= 2 && quiet >= longQuietTime)
     return this.open
   }
 
   /** How long to wait before the next probe; it doubles from one to the next. */
-  takeProbeDelay (): number {
-    const { firstProbe, lastProbe } = this.options
-    return Math.min(lastProbe, firstProbe * 2 ** this.probes++)
+  nextProbeDelay (): number {
+    const { firstProbeDelay, maxProbeDelay } = this.options
+    return Math.min(maxProbeDelay, firstProbeDelay * 2 ** this.probes++)
   }
 }
--- a/src/store/http-transport.ts
+++ b/src/store/http-transport.ts
@@ -15,7 +15,7 @@
 const OUT = 503
 const SERVER_ERROR = 500
 /** Errors before the first byte went out. */
-const NOT_SENT = ['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'ENOTFOUND', 'UND_ERR_CONNECT_TIMEOUT']
+const NOT_SENT_CODES = ['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'ENOTFOUND', 'UND_ERR_CONNECT_TIMEOUT']
 
 /** Calls the platform over HTTP. */
 export class HttpTransport implements ApiTransport {
@@ -49,7 +49,7 @@
       return readAnswer(response.statusCode, Number(response.headers['retry-after']), text)
     } catch (error) {
       const { code, message } = error as Error & { code?: string }
-      return { type: NOT_SENT.includes(code ?? '') ? 'not sent' : 'no answer', reason: message }
+      return { type: NOT_SENT_CODES.includes(code ?? '') ? 'not sent' : 'no answer', reason: message }
     }
   }
 }
--- a/src/store/instance-list-relay.ts
+++ b/src/store/instance-list-relay.ts
@@ -13,12 +13,12 @@
 import type { PeerMessage } from '../peers/peer-message.js'
 import { InstanceList } from './instance-list.js'
 
-const QUESTION = 'instance list ask'
+const REQUEST = 'instance list ask'
 const ANSWER = 'instance list'
 /** Daemons of each failure domain that read the platform's list. */
-const READERS = 2
+const READERS_PER_DOMAIN = 2
 /** ms between questions while the list isn't known, and then. */
-const FIRST_PERIOD = 500
+const INITIAL_PERIOD = 500
 const PERIOD = 2_000
 
 /**
@@ -32,12 +32,12 @@
 @scoped(Lifecycle.ContainerScoped)
 export class InstanceListRelay implements Part {
   readonly extensions = [
-    peerHandlerPoint.of({ type: QUESTION, handle: (message, from) => this.answer(message, from) }),
-    peerHandlerPoint.of({ type: ANSWER, handle: message => this.takeAnswer(message) })
+    peerHandlerPoint.of({ type: REQUEST, handle: (message, from) => this.answer(message, from) }),
+    peerHandlerPoint.of({ type: ANSWER, handle: message => this.receiveAnswer(message) })
   ]
 
   private cancel = (): void => {}
-  private nextAsk = 0
+  private nextRequestAt = 0
 
   constructor (
     @inject(InstanceList) private readonly list: InstanceList,
@@ -49,32 +49,32 @@
   ) {}
 
   async start (): Promise<void> {
-    this.cancel = this.clock.every(FIRST_PERIOD, () => this.ask())
-    this.ask()
+    this.cancel = this.clock.every(INITIAL_PERIOD, () => this.request())
+    this.request()
   }
 
   async stop (): Promise<void> {
     this.cancel()
   }
 
-  private ask (): void {
+  private request (): void {
     const readers = this.listReaders()
-    this.list.reads = readers.includes(this.settings.instance)
-    if (this.list.known && (this.list.reads || this.clock.now() < this.nextAsk)) return
-    const asked = this.list.known ? readers : this.listNames()
+    this.list.isReader = readers.includes(this.settings.instance)
+    if (this.list.known && (this.list.isReader || this.clock.now() < this.nextRequestAt)) return
+    const asked = this.list.known ? readers : this.listMemberNames()
     const others = asked.filter(name => name !== this.settings.instance)
     if (others.length === 0) return
-    this.nextAsk = this.clock.now() + PERIOD
-    this.links.send(others[this.random.below(others.length)]!, { type: QUESTION, digest: this.list.digest }, QUESTION)
+    this.nextRequestAt = this.clock.now() + PERIOD
+    this.links.send(others[this.random.below(others.length)]!, { type: REQUEST, digest: this.list.digest }, REQUEST)
   }
 
   /** A daemon that sees nobody else in its failure domain, or has just been paused, reads for itself. */
   private listReaders (): readonly string[] {
     const { instance: name, failureDomain } = this.settings
-    return rankOwners('instance list', listDomainMembers(this.members.all(), { name, failureDomain })).slice(0, READERS)
+    return rankOwners('instance list', listDomainMembers(this.members.all(), { name, failureDomain })).slice(0, READERS_PER_DOMAIN)
   }
 
-  private listNames (): readonly string[] {
+  private listMemberNames (): readonly string[] {
     return this.members.all().map(({ instance }) => instance.name)
   }
 
@@ -84,7 +84,7 @@
     this.links.send(from, same ? { type: ANSWER } : { type: ANSWER, instances: this.list.all }, ANSWER)
   }
 
-  private takeAnswer ({ instances }: PeerMessage): void {
+  private receiveAnswer ({ instances }: PeerMessage): void {
     if (Array.isArray(instances)) this.list.offer(instances)
     else this.list.confirm()
   }
--- a/src/store/instance-list.ts
+++ b/src/store/instance-list.ts
@@ -11,7 +11,7 @@
 
 const POLL_PERIOD = 1_000
 /** ms without a word from a daemon that reads the list, after which this one reads it itself. */
-const SILENCE = 6_000
+const READER_TIMEOUT = 6_000
 
 /**
  * The platform's instance list as last heard. It lags, and is kept through an outage. Until it is known it holds the
@@ -28,10 +28,10 @@
   /** Whether the list is polled here; not where another part follows it and calls `replace`. */
   polled = true
   /** Whether this daemon is one of those that read the platform's list. */
-  reads = true
+  isReader = true
   /** Tells two lists apart. */
   digest = ''
-  private heardAt: number
+  private confirmedAt: number
   private cancel = (): void => {}
   private readonly listeners = new Set<() => void>()
 
@@ -40,7 +40,7 @@
     @inject(tokens.clock) private readonly clock: Clock,
     @inject(tokens.settings) settings?: Settings
   ) {
-    this.heardAt = clock.now()
+    this.confirmedAt = clock.now()
     if (settings !== undefined) this.all = listSeeds(settings)
   }
 
@@ -48,7 +48,7 @@
     if (!this.polled) return
     await this.read()
     this.cancel = this.clock.every(POLL_PERIOD, () => {
-      if (this.reads || this.clock.now() - this.heardAt >= SILENCE) void this.read()
+      if (this.isReader || this.clock.now() - this.confirmedAt >= READER_TIMEOUT) void this.read()
     })
   }
 
@@ -67,12 +67,12 @@
 
   /** Takes the list of a daemon that has it, unless this one reads the platform itself and has done so. */
   offer (instances: readonly Instance[]): void {
-    if (!this.reads || !this.known) this.replace(instances)
+    if (!this.isReader || !this.known) this.replace(instances)
   }
 
   /** Notes that a daemon which reads the list has the same one. */
   confirm (): void {
-    this.heardAt = this.clock.now()
+    this.confirmedAt = this.clock.now()
   }
 
   private async read (): Promise<void> {
--- a/src/store/list-pages.ts
+++ b/src/store/list-pages.ts
@@ -3,10 +3,10 @@
 import type { StoreError } from './store-error.js'
 import type { StoredObject } from './stored-object.js'
 
-const PAGE = 100
+const PAGE_SIZE = 100
 
 /** All objects of a kind, a page at a time; an error is the last thing given. Objects written meanwhile may be missed. */
-export async function * listPages<T> (store: ObjectStore, kind: string, { prefix = '', page = PAGE } = {}): AsyncGenerator<Result<ReadonlyArray<StoredObject<T>>, StoreError>> {
+export async function * listPages<T> (store: ObjectStore, kind: string, { prefix = '', page = PAGE_SIZE } = {}): AsyncGenerator<Result<ReadonlyArray<StoredObject<T>>, StoreError>> {
   for (let after = ''; ;) {
     const objects = await store.list<T>(kind, { prefix, after, limit: page })
     yield objects
--- a/src/store/plain-dialect.ts
+++ b/src/store/plain-dialect.ts
@@ -10,10 +10,10 @@
 
 function buildHttpCall (call: ApiCall): HttpCall {
   switch (call.type) {
-    case 'get': return { method: 'GET', path: showPath(call) }
-    case 'put': return { method: 'PUT', path: showPath(call), body: { value: call.value, version: call.version, writeId: call.writeId } }
-    case 'put status': return { method: 'PUT', path: `${showPath(call)}/status`, body: call.status }
-    case 'delete': return { method: 'DELETE', path: `${showPath(call)}?version=${call.version}` }
+    case 'get': return { method: 'GET', path: buildPath(call) }
+    case 'put': return { method: 'PUT', path: buildPath(call), body: { value: call.value, version: call.version, writeId: call.writeId } }
+    case 'put status': return { method: 'PUT', path: `${buildPath(call)}/status`, body: call.status }
+    case 'delete': return { method: 'DELETE', path: `${buildPath(call)}?version=${call.version}` }
     case 'list': return { method: 'GET', path: `/objects/${call.kind}?${new URLSearchParams({ prefix: call.prefix, after: call.after, limit: String(call.limit) })}` }
     case 'watch': return { method: 'GET', path: `/watch/${call.kind}?revision=${call.revision}&wait=${call.wait}` }
     case 'instances': return { method: 'GET', path: '/instances' }
@@ -21,6 +21,6 @@
   }
 }
 
-function showPath ({ kind, name }: { readonly kind: string, readonly name: string }): string {
+function buildPath ({ kind, name }: { readonly kind: string, readonly name: string }): string {
   return `/objects/${kind}/${encodeURIComponent(name)}`
 }
--- a/src/store/platform-client.ts
+++ b/src/store/platform-client.ts
@@ -21,10 +21,10 @@
 const WATCH_SLACK = 1_000
 const MAX_SENDS = 3
 /** Sendings of a caller's write where its timeout begins short and doubles. */
-const CALLER_SENDS = 4
+const MAX_CALLER_SENDS = 4
 const RESEND_PAUSE = 100
 const CONFLICT = 409
-const FOUND = 300
+const REDIRECTION = 300
 
 interface PlatformClientOptions {
   readonly clock?: Clock
@@ -63,12 +63,12 @@
   private readonly gate: CallGate
   private readonly callerTimeout: number | undefined
 
-  constructor (private readonly transport: ApiTransport, { clock = new SystemClock(), random = new Random(Date.now()), metrics = new Metrics(), createId = randomUUID, maxProbeDelay: lastProbe, callerTimeout, fleetRates }: PlatformClientOptions = {}) {
+  constructor (private readonly transport: ApiTransport, { clock = new SystemClock(), random = new Random(Date.now()), metrics = new Metrics(), createId = randomUUID, maxProbeDelay, callerTimeout, fleetRates }: PlatformClientOptions = {}) {
     this.clock = clock
     this.random = random
     this.createId = createId
     this.callerTimeout = callerTimeout
-    this.gate = new CallGate(transport, { clock, random, metrics, lastProbe, fleetRates })
+    this.gate = new CallGate(transport, { clock, random, metrics, maxProbeDelay, fleetRates })
   }
 
   /** Another way to the platform for callers' calls: by a peer that sends them with `sendDirect`. */
@@ -106,7 +106,7 @@
   /** After a lost reply an object that is gone counts as deleted, whoever deleted it. */
   async delete (kind: string, name: string, version: number, priority: CallPriority = 'background'): Promise<Result<void, StoreError>> {
     const { answer, lost } = await this.sendWrite({ type: 'delete', kind, name, version }, priority)
-    if (answer.type === 'answered' && answer.status < FOUND) return Ok(undefined)
+    if (answer.type === 'answered' && answer.status < REDIRECTION) return Ok(undefined)
     if (!lost) return readResult<undefined>(answer)
     if (answer.type === 'answered' && answer.status === CONFLICT && answer.body.version === 0) return Ok(undefined)
     return Err({ type: 'unknown', reason: 'no reply came, or the object has been written since' })
@@ -132,34 +132,34 @@
 
   /** A read without an answer is sent once more. */
   private async read<T> (call: ApiCall, priority: CallPriority): Promise<Result<T, StoreError>> {
-    const short = priority === 'caller' ? this.callerTimeout : undefined
-    const answer = await this.gate.send(call, priority, short === undefined ? CALL_TIMEOUT : 2 * short)
+    const shortTimeout = priority === 'caller' ? this.callerTimeout : undefined
+    const answer = await this.gate.send(call, priority, shortTimeout === undefined ? CALL_TIMEOUT : 2 * shortTimeout)
     if (answer.type !== 'no answer') return readResult<T>(answer)
-    if (short === undefined) await this.pause()
-    return readResult<T>(await this.gate.send(call, priority, CALL_TIMEOUT, { relayed: short !== undefined || undefined }))
+    if (shortTimeout === undefined) await this.pause()
+    return readResult<T>(await this.gate.send(call, priority, CALL_TIMEOUT, { relayed: shortTimeout !== undefined || undefined }))
   }
 
   /** Sends a write until it is answered, a caller's in turn straight and by way of a peer; `lost` says that an earlier sending may have taken effect. */
   private async sendWrite (call: ApiCall, priority: CallPriority): Promise<{ readonly answer: ApiAnswer, readonly lost: boolean }> {
     let lost = false
-    const short = priority === 'caller' ? this.callerTimeout : undefined
-    const isRelayed = (send: number): boolean | undefined => short !== undefined && send % 2 === 0 ? true : undefined
+    const shortTimeout = priority === 'caller' ? this.callerTimeout : undefined
+    const isRelayed = (send: number): boolean | undefined => shortTimeout !== undefined && send % 2 === 0 ? true : undefined
     for (let sends = 1; ; sends++) {
-      const answer = await this.gate.send(call, priority, short === undefined ? CALL_TIMEOUT : short * 2 ** (sends - 1), { relayed: isRelayed(sends) })
-      const again = answer.type === 'no answer' || (lost && answer.type !== 'answered')
-      if (!again) return { answer, lost }
+      const answer = await this.gate.send(call, priority, shortTimeout === undefined ? CALL_TIMEOUT : shortTimeout * 2 ** (sends - 1), { relayed: isRelayed(sends) })
+      const mustResend = answer.type === 'no answer' || (lost && answer.type !== 'answered')
+      if (!mustResend) return { answer, lost }
       lost = true
-      const isLast = sends >= (short === undefined ? MAX_SENDS : CALLER_SENDS)
-      if (isLast || (this.gate.out && isRelayed(sends + 1) === undefined)) return { answer, lost }
-      if (short === undefined) await this.pause()
+      const isLast = sends >= (shortTimeout === undefined ? MAX_SENDS : MAX_CALLER_SENDS)
+      if (isLast || (this.gate.isOut && isRelayed(sends + 1) === undefined)) return { answer, lost }
+      if (shortTimeout === undefined) await this.pause()
     }
   }
 
   /** `present` is the version that our write met; a read with a lower one is old and tells nothing. */
-  private async settlePut<T> ({ kind, name, writeId }: Put, present: number, priority: CallPriority): Promise<Result<StoredObject<T>, StoreError>> {
+  private async settlePut<T> ({ kind, name, writeId }: Put, currentVersion: number, priority: CallPriority): Promise<Result<StoredObject<T>, StoreError>> {
     const read = await this.read<StoredObject<T> & { writeId?: string }>({ type: 'get', kind, name }, priority)
     if (read.ok && read.val.writeId === writeId) return read
-    return Err({ type: 'unknown', reason: read.ok && read.val.version >= present ? 'no reply came, and the object has been written since' : 'no reply came, and reading back told nothing' })
+    return Err({ type: 'unknown', reason: read.ok && read.val.version >= currentVersion ? 'no reply came, and the object has been written since' : 'no reply came, and reading back told nothing' })
   }
 
   private async pause (): Promise<void> {
@@ -168,5 +168,5 @@
 }
 
 function readResult<T> (answer: ApiAnswer): Result<T, StoreError> {
-  return answer.type === 'answered' && answer.status < FOUND ? Ok(answer.body as T) : Err(readStoreError(answer))
+  return answer.type === 'answered' && answer.status < REDIRECTION ? Ok(answer.body as T) : Err(readStoreError(answer))
 }
--- a/src/store/store-relay.ts
+++ b/src/store/store-relay.ts
@@ -15,9 +15,9 @@
 import type { PlatformClient } from './platform-client.js'
 
 /** Peers that are asked for one call, at most. */
-const TRIES = 3
+const MAX_PEERS = 3
 /** Beyond the time that the peer's own call may take, for the way there and back, ms. */
-const WAY = 50
+const PEER_ROUND_TRIP = 50
 /** The line of what goes by way of peers is written at most so often, ms. */
 const LOG_PERIOD = 5_000
 
@@ -36,7 +36,7 @@
   readonly extensions
   private readonly calls: MemberCalls<RelayedCall, ApiAnswer>
   /** The peer that reached the store last. */
-  private last: string | undefined
+  private lastPeer: string | undefined
   private loggedAt = -Infinity
 
   constructor (
@@ -60,30 +60,30 @@
 
   /** What a peer was answered; where a peer's call may have taken effect without an answer, that is said; undefined where no peer could ask. */
   private async send (call: ApiCall, timeout: number): Promise<ApiAnswer | undefined> {
-    let unsure: ApiAnswer | undefined
+    let uncertain: ApiAnswer | undefined
     const tried = new Set([this.settings.instance])
-    for (let tries = 0; tries < TRIES; tries++) {
+    for (let tries = 0; tries < MAX_PEERS; tries++) {
       const peer = this.choosePeer(tried)
       if (peer === undefined) break
       tried.add(peer)
-      const answer = await this.calls.call(peer, { call, timeout }, timeout + WAY)
+      const answer = await this.calls.call(peer, { call, timeout }, timeout + PEER_ROUND_TRIP)
       if (answer?.type === 'answered') {
-        this.note(peer, call)
+        this.recordRelay(peer, call)
         return answer
       }
-      if (this.last === peer) this.last = undefined
-      if (answer === undefined || answer.type === 'no answer') unsure = { type: 'no answer', reason: `${peer} had no answer` }
+      if (this.lastPeer === peer) this.lastPeer = undefined
+      if (answer === undefined || answer.type === 'no answer') uncertain = { type: 'no answer', reason: `${peer} had no answer` }
     }
-    return unsure
+    return uncertain
   }
 
   private choosePeer (tried: ReadonlySet<string>): string | undefined {
-    const open = this.members.all().filter(({ state, run, instance }) => state === 'alive' && run > 0 && !tried.has(instance.name)).map(({ instance }) => instance.name)
-    return this.last !== undefined && open.includes(this.last) ? this.last : open[this.random.below(open.length)]
+    const candidates = this.members.all().filter(({ state, run, instance }) => state === 'alive' && run > 0 && !tried.has(instance.name)).map(({ instance }) => instance.name)
+    return this.lastPeer !== undefined && candidates.includes(this.lastPeer) ? this.lastPeer : candidates[this.random.below(candidates.length)]
   }
 
-  private note (peer: string, call: ApiCall): void {
-    this.last = peer
+  private recordRelay (peer: string, call: ApiCall): void {
+    this.lastPeer = peer
     this.metrics.count('platform_calls_relayed_total', { call: call.type })
     const now = this.clock.now()
     if (now < this.loggedAt + LOG_PERIOD) return
--- a/test/adapter/door-dialect.test.ts
+++ b/test/adapter/entry-dialect.test.ts
@@ -1,18 +1,18 @@
 import test from 'ava'
 import type { IncomingMessage } from 'node:http'
-import { doorDialect } from '../../platform/door-dialect.js'
+import { entryDialect } from '../../platform/entry-dialect.js'
 
 function createRequest (url: string, headers: Record<string, string> = {}, method = 'GET'): IncomingMessage {
   return { method, url, headers: { host: 'Desk.example', ...headers } } as unknown as IncomingMessage
 }
 
 test('what is passed on is without what concerns one connection, or is set anew for each server', t => {
-  const head = doorDialect.readHead(createRequest('/p/1?x=%2F..', {
+  const head = entryDialect.readHead(createRequest('/p/1?x=%2F..', {
     'x-request-id': 'r', 'x-deadline-ms': '4200', 'last-event-id': '7', 'x-prompt-prefix': '5c:800,91:410', 'x-model': 'm', connection: 'keep-alive, x-hop', 'x-hop': '1', 'content-length': '3', te: 'trailers'
   }))
   t.deepEqual(head, { id: 'r', host: 'desk.example', path: '/p/1', left: 4_200, resumeAfter: '7', key: '5c', headers: { host: 'Desk.example', 'x-model': 'm', 'x-prompt-prefix': '5c:800,91:410' } })
-  t.is(doorDialect.readHead(createRequest('/', { 'x-deadline-ms': 'soon' })).left, undefined)
-  t.is(doorDialect.readHead(createRequest('/', { 'x-prompt-prefix': '91:410' })).key, undefined)
+  t.is(entryDialect.readHead(createRequest('/', { 'x-deadline-ms': 'soon' })).left, undefined)
+  t.is(entryDialect.readHead(createRequest('/', { 'x-prompt-prefix': '91:410' })).key, undefined)
 })
 
 const calls: ReadonlyArray<readonly [string, string, unknown]> = [
@@ -26,10 +26,10 @@
 ]
 
 for (const [method, url, call] of calls) {
-  test(`${method} ${url}`, t => { t.deepEqual(doorDialect.readJobCall(createRequest(url, { 'x-wait-ms': '900' }, method)), call) })
+  test(`${method} ${url}`, t => { t.deepEqual(entryDialect.readJobCall(createRequest(url, { 'x-wait-ms': '900' }, method)), call) })
 }
 
 test('results in the callers\' words', t => {
-  t.deepEqual(doorDialect.showResults({ total: 2, next: 1, results: [{ id: 'i', state: 'failed', text: '' }] }), { total: 2, next: 1, results: [{ id: 'i', state: 'errored', text: '' }] })
-  t.deepEqual(doorDialect.showAddresses(['10.1.0.10:8161'], 1_500), { addrs: ['10.1.0.10:8161'], ttl_s: 1.5 })
+  t.deepEqual(entryDialect.showResults({ total: 2, next: 1, results: [{ id: 'i', state: 'failed', text: '' }] }), { total: 2, next: 1, results: [{ id: 'i', state: 'errored', text: '' }] })
+  t.deepEqual(entryDialect.showAddresses(['10.1.0.10:8161'], 1_500), { addrs: ['10.1.0.10:8161'], ttl_s: 1.5 })
 })
--- a/test/store/call-gate.test.ts
+++ b/test/store/call-gate.test.ts
@@ -10,7 +10,7 @@
 const CALL = { type: 'list', kind: 'k', prefix: '', after: '', limit: 1 } as const
 
 /** Two calls that wait for the platform and get no answer after `time` ms; whether the circuit is open then. */
-async function loseTwo (time: number): Promise<boolean> {
+async function failTwoCalls (time: number): Promise<boolean> {
   const clock = new VirtualClock()
   const ends: Array<(answer: ApiAnswer) => void> = []
   const transport = { send: async () => await new Promise<ApiAnswer>(resolve => { ends.push(resolve) }), close: async () => {} }
@@ -21,15 +21,15 @@
   for (const end of ends) end({ type: 'no answer', reason: 'timeout' })
   await Promise.all(calls)
   gate.close()
-  return gate.out
+  return gate.isOut
 }
 
 // A daemon is frozen with two calls under way; at the thaw their timeouts fire before what has come is read. The platform was
 // there all the time: taken for out, it would not be told the outcome of a booking whose answer has just come.
 test('calls that this process itself gave up late say nothing of the platform', async t => {
-  t.false(await loseTwo(6_000))
+  t.false(await failTwoCalls(6_000))
 })
 
 test('calls that time out in time open the circuit', async t => {
-  t.true(await loseTwo(TIMEOUT))
+  t.true(await failTwoCalls(TIMEOUT))
 })
--- a/test/store/circuit.test.ts
+++ b/test/store/circuit.test.ts
@@ -16,7 +16,7 @@
   return Array.from({ length: count }, () => [at, 'failure'] as const)
 }
 
-const TABLE: readonly (readonly [what: string, open: boolean, steps: readonly Step[]])[] = [
+const CASES: readonly (readonly [what: string, open: boolean, steps: readonly Step[]])[] = [
   ['five failures in a burst right after an answer are lost replies, not an outage', false, [[100, 'answer'], ...repeat(12, 110)]],
   ['five failures with nothing answered for 300 ms are an outage', true, [[100, 'answer'], ...repeat(4, 110), [400, 'failure']]],
   ['two failures with nothing answered for 1.5 s are an outage', true, [[100, 'answer'], [200, 'failure'], [1_600, 'failure']]],
@@ -24,4 +24,4 @@
   ['an answer closes it', false, [...repeat(5, 2_000), [2_100, 'answer']]]
 ]
 
-for (const [what, open, steps] of TABLE) test(what, t => t.is(run(steps), open))
+for (const [what, open, steps] of CASES) test(what, t => t.is(run(steps), open))
--- a/test/store/http-transport.test.ts
+++ b/test/store/http-transport.test.ts
@@ -3,22 +3,22 @@
 import { Child } from '../../harness/child.js'
 import { HttpTransport } from '../../src/store/http-transport.js'
 
-const FULL_AFTER = 300
-const MOST_CONNECTIONS = 64
+const CONNECT_WAIT = 300
+const MAX_CONNECTIONS = 64
 
 /** A process that listens and stands still, with so many connections waiting that the system answers no further one. */
-async function startUnreachable (): Promise<{ readonly child: Child, readonly port: number, readonly sockets: readonly Socket[] }> {
+async function startFullListener (): Promise<{ readonly child: Child, readonly port: number, readonly sockets: readonly Socket[] }> {
   const program = [process.execPath, '-e', 'const s = require("net").createServer().listen({ port: 0, host: "127.0.0.1", backlog: 1 }, () => console.log(JSON.stringify({ port: s.address().port })))']
   const { child, ready } = await Child.start<{ port: number }>([], { program })
   child.signal('SIGSTOP')
   const sockets: Socket[] = []
-  for (let isOpen = true; isOpen && sockets.length < MOST_CONNECTIONS;) {
+  for (let isOpen = true; isOpen && sockets.length < MAX_CONNECTIONS;) {
     const socket = connect(ready.port, '127.0.0.1')
     socket.on('error', () => {})
     sockets.push(socket)
     isOpen = await new Promise<boolean>(resolve => {
       socket.once('connect', () => resolve(true))
-      setTimeout(() => resolve(false), FULL_AFTER)
+      setTimeout(() => resolve(false), CONNECT_WAIT)
     })
   }
   return { child, port: ready.port, sockets }
@@ -27,7 +27,7 @@
 // A daemon is cut off from the store: nothing answers a new connection. A call with a short timeout has to end in that time, so
 // that its caller is told or another way is tried; it waited for the connection instead, 10 s and more.
 test('a call ends in its time though no connection comes about', async t => {
-  const { child, port, sockets } = await startUnreachable()
+  const { child, port, sockets } = await startFullListener()
   const transport = new HttpTransport(`http://127.0.0.1:${port}`)
   try {
     const began = performance.now()
--- a/test/store/instance-list.test.ts
+++ b/test/store/instance-list.test.ts
@@ -28,7 +28,7 @@
 
 test('a daemon that is told doesn\'t read, and takes what it is told', async t => {
   const { list, clock, countReads } = await startList()
-  list.reads = false
+  list.isReader = false
   for (let second = 0; second < 20; second++) {
     list.confirm()
     await clock.advance(1_000)
@@ -43,7 +43,7 @@
 // The readers of a failure domain are lost at once: those they told would keep an old list for ever.
 test('a daemon whose readers have gone silent reads for itself', async t => {
   const { list, store, clock, countReads } = await startList()
-  list.reads = false
+  list.isReader = false
   store.instances = []
   await clock.advance(5_900)
   t.is(countReads(), 1)
--- a/test/store/plan-restart-rate.test.ts
+++ b/test/store/plan-restart-rate.test.ts
@@ -10,7 +10,7 @@
 ]
 
 for (const [name, options, rate] of cases) {
-  test(`after an outage: ${name}`, t => { t.is(planRestartRate({ least: 2, ...options }), rate) })
+  test(`after an outage: ${name}`, t => { t.is(planRestartRate({ minRate: 2, ...options }), rate) })
 }
 
 // The store is back after an outage. Each of six daemons has results of some jobs to store, and a caller's job of two writes, which waits
@@ -23,6 +23,6 @@
     for (let now = 0; now <= 300; now += 5) if (budget.take('caller', now) === 0) written++
     return written
   }
-  t.true(countWrites(planRestartRate({ least: 2, fleetRate: 400, daemons: 6 })) >= 4)
-  t.true(countWrites(planRestartRate({ least: 2, fleetRate: undefined, daemons: 6 })) < 2)
+  t.true(countWrites(planRestartRate({ minRate: 2, fleetRate: 400, daemons: 6 })) >= 4)
+  t.true(countWrites(planRestartRate({ minRate: 2, fleetRate: undefined, daemons: 6 })) < 2)
 })
--- a/test/store/platform-client.test.ts
+++ b/test/store/platform-client.test.ts
@@ -14,7 +14,7 @@
 const POLL = 500
 const OUTAGE = 15_000
 const SECOND = 1_000
-const FROM = 60_000
+const MEASURED_FROM = 60_000
 
 function start (seed = 1): { clock: VirtualClock, platform: MemoryTransport, connect: (n?: number) => PlatformClient } {
   const clock = new VirtualClock()
@@ -85,16 +85,16 @@
       return done
     }
     platform.setFaults(set)
-    const claims: Array<{ readonly value: string, readonly said: string }> = []
+    const outcomes: Array<{ readonly value: string, readonly outcome: string }> = []
     for (const [i, { writer, name, known, after }] of steps.entries()) {
       const version = Math.max(0, (platform.objects.read('k', name)?.version ?? 0) - known)
-      void clients[writer]!.put('k', name, `value-${i}`, version, 'caller').then(result => claims.push({ value: `value-${i}`, said: result.ok ? 'written' : result.val.type }))
+      void clients[writer]!.put('k', name, `value-${i}`, version, 'caller').then(result => outcomes.push({ value: `value-${i}`, outcome: result.ok ? 'written' : result.val.type }))
       await clock.advance(after)
     }
     await clock.advance(30_000)
-    const wrong = claims.find(({ value, said }) => said === 'written' ? !written.has(value) : said !== 'unknown' && written.has(value))
+    const wrong = outcomes.find(({ value, outcome }) => outcome === 'written' ? !written.has(value) : outcome !== 'unknown' && written.has(value))
     if (wrong !== undefined) throw new Error(JSON.stringify(wrong))
-    return claims.length === steps.length
+    return outcomes.length === steps.length
   }), { numRuns: 150, seed: 3 })
   t.pass()
 })
@@ -167,14 +167,14 @@
     const client = connect(n)
     const loop = async (name: string): Promise<never> => {
       for (let i = 0; ; i++) {
-        if ((await client.put('k', `${name}-${i}`, 1, 0)).ok && clock.now() > FROM) counts[n]!++
+        if ((await client.put('k', `${name}-${i}`, 1, 0)).ok && clock.now() > MEASURED_FROM) counts[n]!++
       }
     }
     for (let i = 0; i < 4; i++) void loop(`${n}-${i}`)
   })
-  await clock.advance(FROM + 60 * SECOND)
+  await clock.advance(MEASURED_FROM + 60 * SECOND)
   const total = counts.reduce((sum, count) => sum + count, 0)
-  const refused = platform.calls.filter(({ at, refused }) => refused && at > FROM).length
+  const refused = platform.calls.filter(({ at, refused }) => refused && at > MEASURED_FROM).length
   t.log(`writes taken in 60 s: ${counts.join(', ')}; refused ${refused}`)
   t.true(Math.max(...counts) < 1.3 * Math.min(...counts))
   t.true(total > 0.7 * 60 * 100)
--- a/test/store/store-mirror.test.ts
+++ b/test/store/store-mirror.test.ts
@@ -7,14 +7,14 @@
 // News of one object comes from the store and from several daemons, late, twice and in any order. A server that has left
 // must not come back by news that is older than its going.
 test('news in any order and any number leads to the newest state', t => {
-  const news = [
+  const updates = [
     { revision: 1, changed: [put('a', 1)], deleted: [] },
     { revision: 2, changed: [put('b', 2)], deleted: [] },
     { revision: 3, changed: [put('a', 3)], deleted: [] },
     { revision: 4, changed: [], deleted: ['b'] },
     { revision: 5, changed: [put('c', 5)], deleted: [] }
   ]
-  fc.assert(fc.property(fc.shuffledSubarray([...news, ...news], { minLength: 10 }), order => {
+  fc.assert(fc.property(fc.shuffledSubarray([...updates, ...updates], { minLength: 10 }), order => {
     const mirror = new StoreMirror<number>()
     for (const batch of order) mirror.merge(batch)
     return JSON.stringify([...mirror.list()].sort()) === '[["a",3],["c",5]]'
