--- a/src/store/api-answer.ts
+++ b/src/store/api-answer.ts
@@ -1,6 +1,9 @@
 /**
- * What became of a call: answered; refused by the platform for its rate or an outage, so that nothing was done; never
- * sent; or sent without an answer, in which case a write may have taken effect, or may still do so.
+ * The outcome of one call.
+ * - `answered`: the platform answered, with any status but those below.
+ * - `limited`, `out`: the platform refused the call for its rate limit or an outage; nothing was done.
+ * - `not sent`: the call never left this process.
+ * - `no answer`: the call was sent without an answer; a write may have taken effect, or may still do so.
  */
 export type ApiAnswer =
   | { readonly type: 'answered', readonly status: number, readonly body: any }
--- a/src/store/api-call.ts
+++ b/src/store/api-call.ts
@@ -1,4 +1,4 @@
-/** One call of the platform's object API. Times in ms. */
+/** One call to the platform's object API. Times in ms. */
 export type ApiCall =
   | { readonly type: 'get', readonly kind: string, readonly name: string }
   | { readonly type: 'put', readonly kind: string, readonly name: string, readonly value: unknown, readonly version: number, readonly writeId: string }
--- a/src/store/api-transport.ts
+++ b/src/store/api-transport.ts
@@ -1,7 +1,7 @@
 import type { ApiAnswer } from './api-answer.js'
 import type { ApiCall } from './api-call.js'
 
-/** Carries single calls to the platform. It never repeats one and never throws. */
+/** Sends single calls to the platform. It never retries and never throws. */
 export interface ApiTransport {
   send (call: ApiCall, timeout: number): Promise<ApiAnswer>
   close (): Promise<void>
--- a/src/store/call-budget.ts
+++ b/src/store/call-budget.ts
@@ -7,29 +7,30 @@
   readonly rate: number
   readonly minRate?: number
   readonly maxRate?: number
-  /** Added to the rate each second in which calls had to wait for it. */
+  /** Added to the rate each second in which calls had to wait. */
   readonly increase?: number
-  /** What the rate is multiplied with when the platform refuses a call, at most once a second. */
+  /** Factor applied to the rate when the platform refuses a call, at most once a second. */
   readonly decreaseFactor?: number
 }
 
-/** Share of the burst that calls of a priority leave to those before them. */
+/** Share of the burst that calls of a priority leave to higher priorities. */
 const RESERVED_SHARES: Readonly<Record<CallPriority, number>> = { caller: 0, operator: 0.2, background: 0.5 }
 
 /**
- * A daemon's own share of the platform's rate, found without a word to the others: additive increase while calls wait,
- * multiplicative decrease when the platform refuses one (Chiu and Jain, "Analysis of the increase and decrease
- * algorithms for congestion avoidance", 1989), so that daemons that want much end near equal shares. A token bucket
- * spends it; the last tokens are kept for callers.
+ * Limits a daemon's calls to its share of the platform's rate, without coordination between daemons: additive increase
+ * while calls wait, multiplicative decrease when the platform refuses one (Chiu and Jain, "Analysis of the increase and
+ * decrease algorithms for congestion avoidance", 1989), so that busy daemons converge to nearly equal shares. Calls draw
+ * from a token bucket of that rate, whose last tokens are reserved for callers.
  *
- * After an outage all daemons want at once what had waited. At the full rate they would refuse one another's calls and
- * cut themselves to nothing; a low rate that doubles each second is enough, because the first refusals come while it
- * is still small.
+ * After an outage every daemon has a backlog to send. At their former rates the daemons together would exceed the
+ * platform's limit and drive all rates to the minimum. They restart at a low rate that doubles each second instead: the
+ * first refusals come while it is still small.
  */
 export class CallBudget {
   private rate: number
   private tokens: number
   private refilledAt = -Infinity
+  /** Whether a call had to wait since the last refill. */
   private limited = false
   private decreasedAt = -Infinity
   private restartedAt = -Infinity
@@ -48,7 +49,7 @@
     return Math.min(this.rate, this.restartRate * 2 ** ((now - this.restartedAt) / MS_PER_SECOND))
   }
 
-  /** Takes a call out of the budget and gives 0, or the ms after which to ask again. */
+  /** Takes one call from the budget and returns 0, or returns the ms to wait before trying again. */
   take (priority: CallPriority, now: number): number {
     this.refill(now)
     if (priority !== 'caller' && now < this.pausedUntil) return this.pausedUntil - now
@@ -61,7 +62,7 @@
     return Math.max(1, missing / this.getRate(now) * MS_PER_SECOND)
   }
 
-  /** The platform refused a call for its rate; calls that no caller waits for stay away for `pause` ms. */
+  /** Handles a refusal for the platform's rate limit: lowers the rate, and holds calls back for `pause` ms unless a caller waits for them. */
   onRefused (pause: number, now: number): void {
     this.refill(now)
     this.tokens = Math.min(this.tokens, 0)
@@ -72,7 +73,7 @@
     else this.rate = Math.max(this.options.minRate, this.rate * this.options.decreaseFactor)
   }
 
-  /** The platform answers again after an outage: calls begin with `rate` a second, which doubles each second until it is back. */
+  /** Handles the end of an outage: calls restart at `rate` a second, which doubles each second up to the former rate. */
   onRestart (now: number, rate: number): void {
     this.restartedAt = now
     this.restartRate = rate
@@ -92,7 +93,7 @@
     return this.getRate(now) < this.rate
   }
 
-  /** Half a second's worth, and never less than one call. */
+  /** The bucket's size: half a second of calls, and at least one. */
   private getBurst (now: number): number {
     return Math.max(1, (now === -Infinity ? this.rate : this.getRate(now)) / 2)
   }
--- a/src/store/call-gate.ts
+++ b/src/store/call-gate.ts
@@ -10,30 +10,30 @@
 import { Circuit } from './circuit.js'
 import { planRestartRate } from './plan-restart-rate.js'
 
-/** Calls a second that a daemon begins with. */
+/** Initial rates, calls a second. */
 const READ_BUDGET = { rate: 200 }
 const WRITE_BUDGET = { rate: 60 }
-/** Calls a second with which a daemon begins again after an outage at the least. */
+/** Lowest rates at which calls restart after an outage, calls a second. */
 const MIN_RESTART_READS = 4
 const MIN_RESTART_WRITES = 2
 const PROBE_TIMEOUT = 1_000
 const PROBE: ApiCall = { type: 'get', kind: 'configuration', name: 'manifest' }
 const JITTER = 0.5
-/** How long a call waits for the budget before it is refused, in ms. */
+/** Longest time a call waits for the budget before it is refused, ms. */
 const MAX_WAITS: Readonly<Record<CallPriority, number>> = { caller: 300, operator: 3_000, background: 10_000 }
 const PRIORITIES: readonly CallPriority[] = ['caller', 'operator', 'background']
-/** How long a call stands back for one of a higher priority before it asks again, in ms. */
+/** Delay before a call that yields to a higher priority tries again, ms. */
 const YIELD_DELAY = 50
-/** A call that is given up this much after its timeout says more of this daemon than of the platform, ms. */
+/** A timeout that fires this late means that this process was paused, ms. */
 const LATE_THRESHOLD = 500
 const OUT: ApiAnswer = { type: 'not sent', reason: 'the platform is out' }
 
-/** What the platform serves to all daemons together, calls a second. */
+/** The platform's rate limits for all daemons together, calls a second. */
 interface FleetRates { readonly reads: number, readonly writes: number }
 
 type Relay = (call: ApiCall, timeout: number) => Promise<ApiAnswer | undefined>
 
-/** Lets calls through to the platform within the budget, and refuses them at once while the platform is out. */
+/** Sends calls to the platform within the budget, and refuses them at once while the platform is out. */
 export class CallGate {
   private readonly budgets = { reads: new CallBudget(READ_BUDGET), writes: new CallBudget(WRITE_BUDGET) }
   private readonly circuit: Circuit
@@ -56,31 +56,31 @@
     for (const [call, budget] of Object.entries(this.budgets)) metrics.gauge('platform_call_rate', () => budget.getRate(clock.now()), { call })
   }
 
-  /** Whether the platform is taken to be out. */
+  /** Whether the platform is considered out. */
   get isOut (): boolean {
     return this.circuit.open
   }
 
-  /** How many daemons share what the platform serves. */
+  /** Sets the source of the number of daemons that share the platform's rate. */
   useFleet (count: () => number): void {
     this.countDaemons = count
   }
 
-  /** Another way to the platform; it gives undefined where it leads nowhere. */
+  /** Sets an alternative path to the platform; `relay` resolves to undefined where no peer could send the call. */
   useRelay (relay: Relay): void {
     this.relay = relay
   }
 
   /**
-   * Sends a call. A caller's goes by way of a peer where the platform doesn't answer this daemon, and with `relayed` in any
-   * case, if there is such a way.
+   * Sends a call. A caller's call goes through the relay, if there is one, while the platform is out for this daemon or
+   * where `relayed` is true; it is sent directly where the relay has no answer.
    */
   async send (call: ApiCall, priority: CallPriority, timeout: number, { relayed = this.isOut }: { readonly relayed?: boolean } = {}): Promise<ApiAnswer> {
     const answer = relayed && priority === 'caller' ? await this.relay?.(call, timeout) : undefined
     return answer ?? await this.sendDirect(call, priority, timeout)
   }
 
-  /** Sends a call straight to the platform. */
+  /** Sends a call directly to the platform. */
   async sendDirect (call: ApiCall, priority: CallPriority, timeout: number): Promise<ApiAnswer> {
     const refusal = await this.admit(call, priority)
     if (refusal !== undefined) {
@@ -113,7 +113,7 @@
     }
   }
 
-  /** Whether a call of a higher priority is waiting: the next of the budget is then for that one. */
+  /** Whether a call of a higher priority is waiting, which the next token goes to. */
   private hasHigherPriorityWaiting (priority: CallPriority): boolean {
     return PRIORITIES.slice(0, PRIORITIES.indexOf(priority)).some(before => this.waiting[before] > 0)
   }
@@ -122,7 +122,7 @@
     return type === 'put' || type === 'put status' || type === 'delete' ? this.budgets.writes : this.budgets.reads
   }
 
-  /** A watch that isn't answered says nothing of the platform: it may be that watch alone that is silent. */
+  /** An unanswered watch doesn't count as a failure of the platform: that watch alone may hang. */
   private record (call: ApiCall, answer: ApiAnswer): void {
     const now = this.clock.now()
     if (answer.type === 'answered' || answer.type === 'limited') {
@@ -152,9 +152,8 @@
 }
 
 /**
- * Whether a call went unanswered because this process stood still. Its timeout fires at the thaw, before the answer that
- * waits is read; two such calls opened the circuit, and the outcome of a booking that had just come was refused as of a
- * platform that is out. The caller had its answer, and the same key was told unknown elsewhere for some seconds.
+ * Whether a call went unanswered because this process was paused: when it resumes, the timeout fires before the answer
+ * in the socket buffer is read. Counted as failures, two such calls would open the circuit of a platform that is up.
  */
 function isLocalDelay (answer: ApiAnswer, elapsed: number, timeout: number): boolean {
   return answer.type === 'no answer' && elapsed > timeout + LATE_THRESHOLD
--- a/src/store/circuit.ts
+++ b/src/store/circuit.ts
@@ -1,22 +1,21 @@
 /** Times in ms. */
 interface CircuitOptions {
-  /** Calls in a row without an answer that open it, once nothing has been answered for `pause`. */
+  /** Consecutive unanswered calls that open the circuit, if there has been no answer for `quietTime`. */
   readonly failures?: number
   readonly quietTime?: number
-  /** Two of them are enough when nothing has been answered for this long. */
+  /** Two unanswered calls are enough after this long without an answer. */
   readonly longQuietTime?: number
   readonly firstProbeDelay?: number
-  /** Longest pause between two probes: what a daemon knows is as old as that when the platform is back. */
+  /** Longest delay between two probes; a daemon notices up to this much later that the platform is back. */
   readonly maxProbeDelay?: number
 }
 
 /**
- * Tells whether the platform answers. In an outage each call would otherwise wait out its timeout, and callers with it;
- * open, it refuses them at once, and only a probe goes out now and then. One answer closes it.
+ * A circuit breaker for calls to the platform. While it is open, during an outage, calls are refused at once instead of
+ * waiting out their timeouts, and only probes are sent. One answer closes it.
  *
  * A burst of writes whose replies are lost looks like an outage for an instant, although the platform takes every one of
- * them; callers would be refused for nothing. The reads that settle such writes are answered within `pause`, and keep
- * it closed.
+ * them. The reads that settle such writes are answered within `quietTime` and keep the circuit closed.
  */
 export class Circuit {
   private failures = 0
@@ -30,7 +29,7 @@
     this.answeredAt = now
   }
 
-  /** An answer came; gives back whether it ended an outage. */
+  /** Records an answer; returns whether it ended an outage. */
   onAnswer (now: number): boolean {
     const ended = this.open
     this.open = false
@@ -40,7 +39,7 @@
     return ended
   }
 
-  /** No answer came; gives back whether an outage begins. */
+  /** Records an unanswered call; returns whether an outage begins with it. */
   onFailure (now: number): boolean {
     this.failures++
     if (this.open) return false
@@ -50,7 +49,7 @@
     return this.open
   }
 
-  /** How long to wait before the next probe; it doubles from one to the next. */
+  /** Returns the delay before the next probe, ms, which doubles with each call. */
   nextProbeDelay (): number {
     const { firstProbeDelay, maxProbeDelay } = this.options
     return Math.min(maxProbeDelay, firstProbeDelay * 2 ** this.probes++)
--- a/src/store/http-transport.ts
+++ b/src/store/http-transport.ts
@@ -8,19 +8,19 @@
 import type { StoreDialect } from './store-dialect.js'
 
 const MS_PER_SECOND = 1_000
-/** How long a new connection may take, ms: the platform answers in milliseconds, and a lost packet is sent again within one second. */
+/** Limit for opening a connection, ms; leaves room for one retransmission of a lost packet, which takes a second. */
 const CONNECT_TIMEOUT = 1_500
 const DEFAULT_RETRY_AFTER = 1_000
 const LIMITED = 429
 const OUT = 503
 const SERVER_ERROR = 500
-/** Errors before the first byte went out. */
+/** Codes of errors that occur before the first byte is sent. */
 const NOT_SENT_CODES = ['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'ENOTFOUND', 'UND_ERR_CONNECT_TIMEOUT']
 
 /** Calls the platform over HTTP. */
 export class HttpTransport implements ApiTransport {
   private readonly agent = new Agent({ connections: 16, keepAliveTimeout: 4_000, connect: { timeout: CONNECT_TIMEOUT } })
-  /** A watch holds its connection; on the same ones it would keep other calls waiting. */
+  /** Watches occupy their connections for long, so that they have their own. */
   private readonly watchAgent = new Agent({ connections: 8, keepAliveTimeout: 4_000, connect: { timeout: CONNECT_TIMEOUT } })
 
   constructor (private readonly base: string, private readonly dialect: StoreDialect = plainDialect) {}
@@ -54,7 +54,7 @@
   }
 }
 
-/** 503 says that the platform did nothing; after another server error a write may have taken effect. */
+/** With 503 the platform has done nothing; with any other server error a write may have taken effect. */
 function readAnswer (status: number, retryAfter: number, text: string): ApiAnswer {
   if (status === LIMITED) return { type: 'limited', retryAfter: retryAfter > 0 ? retryAfter * MS_PER_SECOND : DEFAULT_RETRY_AFTER }
   if (status === OUT) return { type: 'out', reason: 'the platform refuses calls' }
--- a/src/store/instance-list-relay.ts
+++ b/src/store/instance-list-relay.ts
@@ -15,19 +15,18 @@
 
 const REQUEST = 'instance list ask'
 const ANSWER = 'instance list'
-/** Daemons of each failure domain that read the platform's list. */
+/** Daemons of each failure domain that read the list from the platform. */
 const READERS_PER_DOMAIN = 2
-/** ms between questions while the list isn't known, and then. */
+/** Intervals between requests, ms: until a list has been received, and after that. */
 const INITIAL_PERIOD = 500
 const PERIOD = 2_000
 
 /**
- * Brings the platform's instance list to the daemons that don't read it themselves: each asks one of the readers of its
- * failure domain, naming the list it has, and gets another only where it differs.
+ * Distributes the platform's instance list to daemons that don't read it themselves: each sends the digest of its list to
+ * a reader of its failure domain, which returns its own list if that differs.
  *
- * A daemon that starts while the platform is out asks anybody. Without that it has its configuration from its peers and
- * refuses every request, because it knows no backend server; what a peer last read is as good as what that peer itself
- * goes on with.
+ * A daemon without a list asks any daemon. So one that starts while the platform is out has backend servers to send
+ * requests to: the list that the other daemons use as well.
  */
 @scoped(Lifecycle.ContainerScoped)
 export class InstanceListRelay implements Part {
@@ -68,7 +67,7 @@
     this.links.send(others[this.random.below(others.length)]!, { type: REQUEST, digest: this.list.digest }, REQUEST)
   }
 
-  /** A daemon that sees nobody else in its failure domain, or has just been paused, reads for itself. */
+  /** The readers of this daemon's failure domain; the daemon itself where it sees no other member there. */
   private listReaders (): readonly string[] {
     const { instance: name, failureDomain } = this.settings
     return rankOwners('instance list', listDomainMembers(this.members.all(), { name, failureDomain })).slice(0, READERS_PER_DOMAIN)
--- a/src/store/instance-list.ts
+++ b/src/store/instance-list.ts
@@ -10,26 +10,26 @@
 import type { ObjectStore } from './object-store.js'
 
 const POLL_PERIOD = 1_000
-/** ms without a word from a daemon that reads the list, after which this one reads it itself. */
+/** Time without a list or confirmation from a reader after which a daemon reads from the platform itself, ms. */
 const READER_TIMEOUT = 6_000
 
 /**
- * The platform's instance list as last heard. It lags, and is kept through an outage. Until it is known it holds the
- * seeds of the settings, so that a daemon started in an outage finds its peers.
+ * The platform's instance list as last received. It lags, and is kept through an outage. Until one is received it holds
+ * the seeds of the settings, so that a daemon started in an outage finds its peers.
  *
- * Only a few daemons read it, and the relay tells the others: with one read a second in each daemon, 380 daemons would
- * take a fifth of the platform's reads. A daemon whose readers have gone silent reads for itself until they are back.
+ * Only a few daemons read the list from the platform, to save its read rate, and `InstanceListRelay` passes it on to the
+ * others. A daemon whose readers are unresponsive reads from the platform until they are back.
  */
 @scoped(Lifecycle.ContainerScoped)
 export class InstanceList implements Part {
   all: readonly Instance[] = []
-  /** Whether the platform, or a daemon that has read it, has been heard since the start. */
+  /** Whether a list has been received since the start, from the platform or from another daemon. */
   known = false
-  /** Whether the list is polled here; not where another part follows it and calls `replace`. */
+  /** Whether this part polls the platform; false where another part watches the list and calls `replace`. */
   polled = true
-  /** Whether this daemon is one of those that read the platform's list. */
+  /** Whether this daemon is one of those that read the list from the platform. */
   isReader = true
-  /** Tells two lists apart. */
+  /** Hash of the list, by which daemons compare theirs. */
   digest = ''
   private confirmedAt: number
   private cancel = (): void => {}
@@ -65,12 +65,12 @@
     return () => this.listeners.delete(listener)
   }
 
-  /** Takes the list of a daemon that has it, unless this one reads the platform itself and has done so. */
+  /** Takes a list from another daemon; ignored where this one is a reader and has a list already. */
   offer (instances: readonly Instance[]): void {
     if (!this.isReader || !this.known) this.replace(instances)
   }
 
-  /** Notes that a daemon which reads the list has the same one. */
+  /** Records that a reader has the same list. */
   confirm (): void {
     this.confirmedAt = this.clock.now()
   }
@@ -80,7 +80,7 @@
     if (instances.ok) this.replace(instances.val)
   }
 
-  /** Takes a list that is newer than the one held. */
+  /** Replaces the list with a newer one and notifies the listeners. */
   replace (instances: readonly Instance[]): void {
     this.confirm()
     this.known = true
--- a/src/store/instance.ts
+++ b/src/store/instance.ts
@@ -1,14 +1,14 @@
-/** One instance in the platform's list. `entry` instances run daemons; the others serve the named pool. */
+/** One instance in the platform's list. Instances of the pool `entry` run daemons; the others are backend servers of their pool. */
 export interface Instance {
   readonly name: string
   readonly pool: string
   readonly host: string
   readonly port: number
-  /** Port for daemons, on entry instances. */
+  /** Port for other daemons; on entry instances only. */
   readonly peerPort?: number
   readonly failureDomain: string
   readonly region: string
   readonly state: 'live' | 'leaving'
-  /** Requests that a backend server runs at once, where the platform tells. */
+  /** Requests that a backend server runs concurrently; undefined where the platform doesn't list it. */
   readonly slots?: number
 }
--- a/src/store/list-pages.ts
+++ b/src/store/list-pages.ts
@@ -5,7 +5,7 @@
 
 const PAGE_SIZE = 100
 
-/** All objects of a kind, a page at a time; an error is the last thing given. Objects written meanwhile may be missed. */
+/** Yields all objects of a kind in pages, and ends after an error. Objects written meanwhile may be missed. */
 export async function * listPages<T> (store: ObjectStore, kind: string, { prefix = '', page = PAGE_SIZE } = {}): AsyncGenerator<Result<ReadonlyArray<StoredObject<T>>, StoreError>> {
   for (let after = ''; ;) {
     const objects = await store.list<T>(kind, { prefix, after, limit: page })
--- a/src/store/plain-dialect.ts
+++ b/src/store/plain-dialect.ts
@@ -3,7 +3,7 @@
 import type { HttpCall } from './http-call.js'
 import type { StoreDialect } from './store-dialect.js'
 
-/** The object API as the product's own manifest describes it: one exchange a call. */
+/** The default format of the object API: one HTTP exchange per call. */
 export const plainDialect: StoreDialect = {
   send: async (call, exchange) => await exchange(buildHttpCall(call))
 }
--- a/src/store/plan-restart-rate.ts
+++ b/src/store/plan-restart-rate.ts
@@ -1,19 +1,17 @@
-/** Share of the fleet's rate with which all daemons together begin again after an outage: all want at once what has waited. */
+/** Share of the platform's rate with which the daemons together restart after an outage. */
 const RESTART_SHARE = 0.25
 
 interface RestartOptions {
-  /** Rate of a daemon that knows no better, calls a second: small enough for a fleet of hundreds. */
+  /** Lowest rate, calls a second, which is also used where the platform's rate isn't known; small enough for hundreds of daemons. */
   readonly minRate: number
-  /** What the platform serves to all daemons together, calls a second; undefined where that isn't known. */
+  /** The platform's rate limit for all daemons together, calls a second; undefined where it isn't known. */
   readonly fleetRate: number | undefined
   readonly daemons: number
 }
 
 /**
- * The rate with which a daemon's calls begin again after an outage, calls a second.
- *
- * Load pattern: a store that was away for some seconds, for which results and new jobs have waited in each daemon. Begun with two calls
- * a second whatever the fleet, six daemons refuse callers' jobs for two seconds more before a store that is idle.
+ * Returns the rate at which a daemon's calls restart after an outage, calls a second. It depends on the number of daemons:
+ * a rate that is safe for hundreds would make a few daemons refuse callers' jobs while the store is idle.
  */
 export function planRestartRate ({ minRate, fleetRate, daemons }: RestartOptions): number {
   return fleetRate === undefined ? minRate : Math.max(minRate, RESTART_SHARE * fleetRate / Math.max(1, daemons))
--- a/src/store/platform-client.ts
+++ b/src/store/platform-client.ts
@@ -20,7 +20,7 @@
 const CALL_TIMEOUT = 2_000
 const WATCH_SLACK = 1_000
 const MAX_SENDS = 3
-/** Sendings of a caller's write where its timeout begins short and doubles. */
+/** Attempts for a caller's write under `callerTimeout`, which doubles with each. */
 const MAX_CALLER_SENDS = 4
 const RESEND_PAUSE = 100
 const CONFLICT = 409
@@ -31,30 +31,30 @@
   readonly random?: Random
   readonly metrics?: Metrics
   /**
-   * The first timeout of a caller's call, ms, which doubles with each sending; the same as for all calls where it is left out.
-   * For callers who wait for some hundred ms: a reply that was lost would take all of that and more, and a store that is
-   * merely slow answers a later sending. Short, it takes a store that lacks processor time for one that lost its reply.
+   * First timeout of a caller's write, ms, which doubles with each attempt; twice this for a caller's read. Left out, all
+   * calls have the same timeout. For callers whose deadline is shorter than that timeout, so that a lost reply doesn't use up their time; a store that is
+   * merely slow answers a later attempt. Too short a value resends to a store that is only busy.
    */
   readonly callerTimeout?: number
-  /** Longest pause between two probes of a store that doesn't answer, ms. */
+  /** Longest delay between two probes of a store that doesn't answer, ms. */
   readonly maxProbeDelay?: number
-  /** What the platform serves to all daemons together, calls a second, where that is known. */
+  /** The platform's rate limits for all daemons together, calls a second, where they are known. */
   readonly fleetRates?: { readonly reads: number, readonly writes: number }
-  /** Ids of writes; unique in the fleet for ever. */
+  /** Creates the ids of writes, which must never repeat in the fleet. */
   readonly createId?: () => string
 }
 
 type Put = Extract<ApiCall, { type: 'put' }>
 
 /**
- * The platform's object API with what its failures ask for: a budget of calls, a circuit for outages, and a truthful
- * end to writes whose reply is lost.
+ * A client of the platform's object API with a call budget, a circuit breaker for outages, and a reliable outcome for
+ * writes whose reply is lost.
  *
- * A write without an answer may have taken effect, or may land later. It is sent again with the same id: as it is
- * conditional, at most one of the sendings takes effect, and once one has, none can land any more. A conflict after
- * that is settled by the id stored with the object: ours, and it was written; another's, and nobody can tell whether
- * ours came before it, so that the outcome is `unknown`. Where no sending is answered it is `unknown` as well.
- * `conflict`, `limited` and `unavailable` are said only of writes that have not taken effect and never will.
+ * A write without an answer may have taken effect, or may do so later. It is resent with the same id: as it is
+ * conditional, at most one attempt takes effect, and none can after that. A conflict on a later attempt is settled by the
+ * write id stored with the object: if it is this write's, the write succeeded; if it is another's, this write may have
+ * preceded it, so that the outcome is `unknown`. It is `unknown` too where no attempt is answered. `conflict`, `limited`
+ * and `unavailable` are returned only for writes that have not taken effect and never will.
  */
 export class PlatformClient implements ObjectStore {
   private readonly clock: Clock
@@ -71,17 +71,17 @@
     this.gate = new CallGate(transport, { clock, random, metrics, maxProbeDelay, fleetRates })
   }
 
-  /** Another way to the platform for callers' calls: by a peer that sends them with `sendDirect`. */
+  /** Sets an alternative path to the platform for callers' calls: a peer that sends them with `sendDirect`. */
   useRelay (relay: Parameters<CallGate['useRelay']>[0]): void {
     this.gate.useRelay(relay)
   }
 
-  /** How many daemons share what the platform serves. */
+  /** Sets the source of the number of daemons that share the platform's rate. */
   useFleet (count: () => number): void {
     this.gate.useFleet(count)
   }
 
-  /** Sends another daemon's call once, straight to the platform. */
+  /** Sends another daemon's call once, directly to the platform. */
   async sendDirect (call: ApiCall, timeout: number): Promise<ApiAnswer> {
     return await this.gate.sendDirect(call, 'caller', timeout)
   }
@@ -103,7 +103,7 @@
     return readResult(answer).map(() => undefined)
   }
 
-  /** After a lost reply an object that is gone counts as deleted, whoever deleted it. */
+  /** After a lost reply, an object that no longer exists counts as deleted by this call. */
   async delete (kind: string, name: string, version: number, priority: CallPriority = 'background'): Promise<Result<void, StoreError>> {
     const { answer, lost } = await this.sendWrite({ type: 'delete', kind, name, version }, priority)
     if (answer.type === 'answered' && answer.status < REDIRECTION) return Ok(undefined)
@@ -116,7 +116,7 @@
     return (await this.read<{ objects: StoredObject<T>[] }>({ type: 'list', kind, prefix, after, limit }, 'background')).map(({ objects }) => objects)
   }
 
-  /** A watch that fails is resumed by calling it again with the last revision. */
+  /** Waits for changes; to resume after a failure, call it again with the last revision. */
   async watch<T> (kind: string, revision: number, wait: number, priority: CallPriority = 'background'): Promise<Result<WatchBatch<T>, StoreError>> {
     return readResult(await this.gate.sendDirect({ type: 'watch', kind, revision, wait }, priority, wait + WATCH_SLACK))
   }
@@ -130,7 +130,7 @@
     await this.transport.close()
   }
 
-  /** A read without an answer is sent once more. */
+  /** Sends a read, and once more where it isn't answered. */
   private async read<T> (call: ApiCall, priority: CallPriority): Promise<Result<T, StoreError>> {
     const shortTimeout = priority === 'caller' ? this.callerTimeout : undefined
     const answer = await this.gate.send(call, priority, shortTimeout === undefined ? CALL_TIMEOUT : 2 * shortTimeout)
@@ -139,7 +139,10 @@
     return readResult<T>(await this.gate.send(call, priority, CALL_TIMEOUT, { relayed: shortTimeout !== undefined || undefined }))
   }
 
-  /** Sends a write until it is answered, a caller's in turn straight and by way of a peer; `lost` says that an earlier sending may have taken effect. */
+  /**
+   * Sends a write until it is answered or its attempts are used up; under `callerTimeout` every second attempt goes through
+   * a peer. `lost` means that an earlier attempt may have taken effect.
+   */
   private async sendWrite (call: ApiCall, priority: CallPriority): Promise<{ readonly answer: ApiAnswer, readonly lost: boolean }> {
     let lost = false
     const shortTimeout = priority === 'caller' ? this.callerTimeout : undefined
@@ -155,7 +158,7 @@
     }
   }
 
-  /** `present` is the version that our write met; a read with a lower one is old and tells nothing. */
+  /** Settles a conflict that may be with an earlier attempt of the same write. A read below `currentVersion`, the version in the conflict, is stale. */
   private async settlePut<T> ({ kind, name, writeId }: Put, currentVersion: number, priority: CallPriority): Promise<Result<StoredObject<T>, StoreError>> {
     const read = await this.read<StoredObject<T> & { writeId?: string }>({ type: 'get', kind, name }, priority)
     if (read.ok && read.val.writeId === writeId) return read
--- a/src/store/read-store-error.ts
+++ b/src/store/read-store-error.ts
@@ -4,7 +4,7 @@
 const MISSING = 404
 const CONFLICT = 409
 
-/** The error that an answer stands for. */
+/** Returns the error for an answer that isn't a success. */
 export function readStoreError (answer: ApiAnswer): StoreError {
   if (answer.type === 'limited') return { type: 'limited', retryAfter: answer.retryAfter }
   if (answer.type !== 'answered') return { type: 'unavailable', reason: answer.reason }
--- a/src/store/store-mirror.ts
+++ b/src/store/store-mirror.ts
@@ -1,36 +1,36 @@
 import type { StoredObject } from './stored-object.js'
 import type { WatchBatch } from './watch-batch.js'
 
-/** Removed names that are remembered, so that old news doesn't bring them back; the oldest go first. */
+/** Limit of remembered removals, which keep stale changes from restoring a removed object; the oldest are dropped first. */
 const MAX_REMOVED = 2_000
 
 interface MirroredObject<T> { readonly version: number, readonly value: T | undefined }
 
 /**
- * The objects of one kind as last heard, from the store or from daemons that watch it. Each object only moves to higher
- * versions, so that news may come late, twice and in any order. Values that can't be read are `undefined`.
+ * A copy of the objects of one kind, updated from the store or from daemons that watch it. An object only moves to higher
+ * versions, so that changes may arrive late, twice and in any order. Values that can't be decoded are `undefined`.
  */
 export class StoreMirror<T> {
-  /** Where a watch goes on; -1 before the first. */
+  /** The revision from which to resume the watch; -1 before the first batch. */
   cursor = -1
-  /** The revision up to which no change is missing; -1 while that isn't known. */
+  /** The revision up to which no change is missing; -1 while none is known to be complete. */
   completeRevision = -1
-  /** The revision since which every removal is remembered. */
+  /** The revision after which every removal is remembered. */
   private removalsKnownSince = Infinity
   private readonly entries = new Map<string, MirroredObject<T>>()
   private readonly removed = new Map<string, number>()
 
-  /** The readable objects by name. */
+  /** Returns the decoded objects by name. */
   list (): ReadonlyMap<string, T> {
     return new Map([...this.entries].flatMap(([name, { value }]) => value === undefined ? [] : [[name, value]]))
   }
 
-  /** Whether there is a readable object of the name. */
+  /** Whether a decoded object of this name exists. */
   isPresent (name: string): boolean {
     return this.entries.get(name)?.value !== undefined
   }
 
-  /** What a daemon that lacks nothing up to `revision` needs to lack nothing that is known here. */
+  /** Returns the changes that a daemon complete up to `revision` needs to catch up with this mirror; all objects where removals since then have been forgotten. */
   copySince (kind: string, revision: number): WatchBatch<T> {
     const objects = [...this.entries].map(([name, { version, value }]) => ({ kind, name, version, value: value as T }))
     if (revision < this.removalsKnownSince) return { revision: this.completeRevision, changed: objects, deleted: [], whole: this.completeRevision >= 0 }
@@ -38,14 +38,14 @@
     return { revision: this.completeRevision, after: revision, changed: objects.filter(({ version }) => version > revision), deleted }
   }
 
-  /** Takes a batch of the store's own; gives back the names whose objects changed or went. */
+  /** Applies a batch from the store and moves the cursor; returns the names of changed and removed objects. */
   apply (batch: WatchBatch<T>): readonly string[] {
     const names = this.merge({ ...batch, after: this.cursor })
     this.cursor = batch.whole === true ? batch.revision : Math.max(this.cursor, batch.revision)
     return names
   }
 
-  /** Takes what another daemon has heard, which moves no cursor; gives back the names whose objects changed or went. */
+  /** Merges a batch from another daemon, without moving the cursor; returns the names of changed and removed objects. */
   merge (batch: WatchBatch<T>): readonly string[] {
     const { revision, changed, deleted, whole = false, after = Infinity, known = [] } = batch
     const names = changed.filter(object => this.put(object)).map(({ name }) => name)
@@ -57,12 +57,12 @@
     return names
   }
 
-  /** Whether an object is known as it was at a version, or later. */
+  /** Whether the mirror has seen this version of the object, a later one, or its removal at such a revision. */
   private isCurrent ({ name, version }: Pick<StoredObject, 'name' | 'version'>): boolean {
     return version <= Math.max(this.entries.get(name)?.version ?? 0, this.removed.get(name) ?? 0)
   }
 
-  /** What a whole batch doesn't name and isn't newer than it. */
+  /** Lists held objects that a whole batch doesn't contain and that aren't newer than it. */
   private listAbsent ({ revision, changed }: WatchBatch<T>): readonly string[] {
     const present = new Set(changed.map(({ name }) => name))
     return [...this.entries].filter(([name, { version }]) => !present.has(name) && version <= revision).map(([name]) => name)
--- a/src/store/store-relay.ts
+++ b/src/store/store-relay.ts
@@ -14,28 +14,27 @@
 import type { ApiCall } from './api-call.js'
 import type { PlatformClient } from './platform-client.js'
 
-/** Peers that are asked for one call, at most. */
+/** Most peers tried for one call. */
 const MAX_PEERS = 3
-/** Beyond the time that the peer's own call may take, for the way there and back, ms. */
+/** Added to the timeout of the peer's own call for the round trip to it, ms. */
 const PEER_ROUND_TRIP = 50
-/** The line of what goes by way of peers is written at most so often, ms. */
+/** Least interval between log lines on relayed calls, ms. */
 const LOG_PERIOD = 5_000
 
 interface RelayedCall { readonly call: ApiCall, readonly timeout: number }
 
 /**
- * Carries a caller's call to the store by way of another daemon, where the straight way doesn't answer. The store may turn some daemons away,
- * or be cut off from them, while it serves the others. Their callers' jobs were refused for as long as that lasted, at
- * each daemon that their callers were told of; by way of a peer they are accepted.
+ * Sends a caller's call to the store through another daemon where the store doesn't answer this one. The store may refuse
+ * some daemons, or be partitioned from them, while it serves the others; their callers' jobs are still accepted.
  *
- * A write keeps its id, so that sendings over several ways count as one: at most one takes effect, and a conflict with
- * one's own is known for what it is.
+ * A write keeps its id over all paths, so that at most one attempt takes effect and a conflict with an earlier attempt of
+ * the same write is recognized.
  */
 @scoped(Lifecycle.ContainerScoped)
 export class StoreRelay implements Part {
   readonly extensions
   private readonly calls: MemberCalls<RelayedCall, ApiAnswer>
-  /** The peer that reached the store last. */
+  /** The last peer that reached the store, which is tried first. */
   private lastPeer: string | undefined
   private loggedAt = -Infinity
 
@@ -58,7 +57,7 @@
     this.store.useRelay(async (call, timeout) => await this.send(call, timeout))
   }
 
-  /** What a peer was answered; where a peer's call may have taken effect without an answer, that is said; undefined where no peer could ask. */
+  /** Returns the store's answer to a peer; `no answer` where a peer's call may have taken effect; undefined where no peer could send it. */
   private async send (call: ApiCall, timeout: number): Promise<ApiAnswer | undefined> {
     let uncertain: ApiAnswer | undefined
     const tried = new Set([this.settings.instance])
@@ -88,7 +87,7 @@
     const now = this.clock.now()
     if (now < this.loggedAt + LOG_PERIOD) return
     this.loggedAt = now
-    this.log.write('info', 'store', 'reaches the store by way of a peer', { peer, call: call.type })
+    this.log.write('info', 'store', 'reaches the store through a peer', { peer, call: call.type })
   }
 }
 
--- a/src/store/stored-object.ts
+++ b/src/store/stored-object.ts
@@ -1,4 +1,4 @@
-/** A value in the platform's object API. Versions of one object only grow. */
+/** An object in the platform's object API. Its version only grows. */
 export interface StoredObject<T = unknown> {
   readonly kind: string
   readonly name: string
--- a/src/store/wait-or-abort.ts
+++ b/src/store/wait-or-abort.ts
@@ -1,6 +1,6 @@
 /**
- * `promise`, or the reason of `signal` once that is aborted. undici heeds a signal only from when it has a connection: a call
- * that should take 250 ms waited for the connection to an unreachable platform instead, 10 s, and its caller with it.
+ * Settles as `promise` does, or rejects with the reason of `signal` once that is aborted. undici observes a signal only once
+ * it has a connection, so that a call to an unreachable host would last until the connect timeout.
  */
 export async function waitOrAbort<T> (promise: Promise<T>, signal: AbortSignal): Promise<T> {
   return await new Promise<T>((resolve, reject) => {
--- a/test/store/call-gate.test.ts
+++ b/test/store/call-gate.test.ts
@@ -9,7 +9,7 @@
 const TIMEOUT = 2_000
 const CALL = { type: 'list', kind: 'k', prefix: '', after: '', limit: 1 } as const
 
-/** Two calls that wait for the platform and get no answer after `time` ms; whether the circuit is open then. */
+/** Sends two calls that get no answer, pauses the process for `time` ms, and returns whether the circuit is open after that. */
 async function failTwoCalls (time: number): Promise<boolean> {
   const clock = new VirtualClock()
   const ends: Array<(answer: ApiAnswer) => void> = []
@@ -24,12 +24,12 @@
   return gate.isOut
 }
 
-// A daemon is frozen with two calls under way; at the thaw their timeouts fire before what has come is read. The platform was
-// there all the time: taken for out, it would not be told the outcome of a booking whose answer has just come.
-test('calls that this process itself gave up late say nothing of the platform', async t => {
+// A daemon is paused with two calls in progress. When it resumes, their timeouts fire before the answers are read, though the
+// platform was up all the time.
+test('timeouts that fire late after a pause of the process do not open the circuit', async t => {
   t.false(await failTwoCalls(6_000))
 })
 
-test('calls that time out in time open the circuit', async t => {
+test('timeouts that fire on time open the circuit', async t => {
   t.true(await failTwoCalls(TIMEOUT))
 })
--- a/test/store/circuit.test.ts
+++ b/test/store/circuit.test.ts
@@ -17,10 +17,10 @@
 }
 
 const CASES: readonly (readonly [what: string, open: boolean, steps: readonly Step[]])[] = [
-  ['five failures in a burst right after an answer are lost replies, not an outage', false, [[100, 'answer'], ...repeat(12, 110)]],
-  ['five failures with nothing answered for 300 ms are an outage', true, [[100, 'answer'], ...repeat(4, 110), [400, 'failure']]],
-  ['two failures with nothing answered for 1.5 s are an outage', true, [[100, 'answer'], [200, 'failure'], [1_600, 'failure']]],
-  ['one failure is none', false, [[5_000, 'failure']]],
+  ['many failures in a burst right after an answer are lost replies, not an outage', false, [[100, 'answer'], ...repeat(12, 110)]],
+  ['five failures without an answer for 300 ms are an outage', true, [[100, 'answer'], ...repeat(4, 110), [400, 'failure']]],
+  ['two failures without an answer for 1.5 s are an outage', true, [[100, 'answer'], [200, 'failure'], [1_600, 'failure']]],
+  ['one failure is not an outage', false, [[5_000, 'failure']]],
   ['an answer closes it', false, [...repeat(5, 2_000), [2_100, 'answer']]]
 ]
 
--- a/test/store/faults.test.ts
+++ b/test/store/faults.test.ts
@@ -17,14 +17,14 @@
   }
 }
 
-test('the same seed hits the same calls', t => {
+test('the same seed affects the same calls', t => {
   const faults: PlatformFaults = { lostReplies: 0.3, delayedWrites: { share: 0.3, delay: 1 }, seed: 5 }
   const draw = (plan: FaultPlan): string => Array.from({ length: 50 }, () => plan.chooseWrite()).join()
   t.is(draw(new FaultPlan(faults)), draw(new FaultPlan(faults)))
   t.not(draw(new FaultPlan(faults)), draw(new FaultPlan({ ...faults, seed: 6 })))
 })
 
-test('outages, lost replies, delayed writes, old reads and the lagging list over HTTP', async t => {
+test('outages, lost replies, delayed writes, stale reads and the lagging list over HTTP', async t => {
   const call = await startPlatform(t)
   const write = async (name: string): Promise<unknown> => await call('PUT', `/objects/k/${name}`, { value: name, version: 0, writeId: 'w' })
   const read = async (name: string): Promise<number> => (await call('GET', `/objects/k/${name}`)).status
@@ -53,7 +53,7 @@
   t.is((await call('DELETE', '/objects/k/a?version=1')).status, 429)
 })
 
-test('the store in memory lands delayed writes when told, and reads what was kept', async t => {
+test('the in-memory store applies delayed writes on demand and returns stale reads', async t => {
   const store = new MemoryStore()
   await store.put('k', 'a', 1, 0)
   store.keepOld()
@@ -65,7 +65,7 @@
   t.is((await store.get<number>('k', 'a')).unwrap().value, 2)
 })
 
-test('pages give every object once, and end with an error', async t => {
+test('pages contain every object once, and end after an error', async t => {
   const store = new MemoryStore()
   for (let i = 0; i < 25; i++) await store.put('k', `n-${String(i).padStart(2, '0')}`, i, 0)
   const read = async (): Promise<unknown[]> => {
--- a/test/store/http-transport.test.ts
+++ b/test/store/http-transport.test.ts
@@ -6,7 +6,7 @@
 const CONNECT_WAIT = 300
 const MAX_CONNECTIONS = 64
 
-/** A process that listens and stands still, with so many connections waiting that the system answers no further one. */
+/** Starts a listening process, stops it, and fills its backlog, so that the system accepts no further connection. */
 async function startFullListener (): Promise<{ readonly child: Child, readonly port: number, readonly sockets: readonly Socket[] }> {
   const program = [process.execPath, '-e', 'const s = require("net").createServer().listen({ port: 0, host: "127.0.0.1", backlog: 1 }, () => console.log(JSON.stringify({ port: s.address().port })))']
   const { child, ready } = await Child.start<{ port: number }>([], { program })
@@ -24,9 +24,9 @@
   return { child, port: ready.port, sockets }
 }
 
-// A daemon is cut off from the store: nothing answers a new connection. A call with a short timeout has to end in that time, so
-// that its caller is told or another way is tried; it waited for the connection instead, 10 s and more.
-test('a call ends in its time though no connection comes about', async t => {
+// A daemon is partitioned from the store: no connection is established. A call with a short timeout must not wait for the
+// connect timeout instead.
+test('a call ends within its timeout though no connection is established', async t => {
   const { child, port, sockets } = await startFullListener()
   const transport = new HttpTransport(`http://127.0.0.1:${port}`)
   try {
--- a/test/store/instance-list.test.ts
+++ b/test/store/instance-list.test.ts
@@ -18,7 +18,7 @@
   return { list, store, clock, countReads: () => store.calls.filter(({ call }) => call === 'instances').length }
 }
 
-test('a daemon that reads the list does so each second', async t => {
+test('a reader reads the list each second', async t => {
   const { list, store, clock, countReads } = await startList()
   store.instances = [createInstance('one'), createInstance('two')]
   await clock.advance(5_000)
@@ -26,7 +26,7 @@
   t.is(list.all.length, 2)
 })
 
-test('a daemon that is told doesn\'t read, and takes what it is told', async t => {
+test('a daemon that receives confirmations does not read, and takes the lists it is sent', async t => {
   const { list, clock, countReads } = await startList()
   list.isReader = false
   for (let second = 0; second < 20; second++) {
@@ -40,8 +40,8 @@
   t.not(list.digest, before)
 })
 
-// The readers of a failure domain are lost at once: those they told would keep an old list for ever.
-test('a daemon whose readers have gone silent reads for itself', async t => {
+// All readers of a failure domain fail at once: the other daemons must not keep an old list.
+test('a daemon whose readers are unresponsive reads the list itself', async t => {
   const { list, store, clock, countReads } = await startList()
   list.isReader = false
   store.instances = []
@@ -52,7 +52,7 @@
   t.deepEqual(list.all, [])
 })
 
-test('a reader that knows the list is not moved by another\'s', async t => {
+test('a reader with a list ignores those of other daemons', async t => {
   const { list } = await startList()
   list.offer([])
   t.is(list.all.length, 1)
--- a/test/store/plan-restart-rate.test.ts
+++ b/test/store/plan-restart-rate.test.ts
@@ -13,9 +13,9 @@
   test(`after an outage: ${name}`, t => { t.is(planRestartRate({ minRate: 2, ...options }), rate) })
 }
 
-// The store is back after an outage. Each of six daemons has results of some jobs to store, and a caller's job of two writes, which waits
-// for 300 ms; the platform serves 400 writes a second.
-test('a job that comes right behind an outage is stored', t => {
+// The store is back after an outage. Each of six daemons has results to store, and a caller's job of two writes, which waits for
+// 300 ms at most; the platform serves 400 writes a second.
+test('a job that arrives right after an outage is stored', t => {
   const countWrites = (restartRate: number): number => {
     const budget = new CallBudget({ rate: 60 })
     budget.onRestart(0, restartRate)
--- a/test/store/platform-client.test.ts
+++ b/test/store/platform-client.test.ts
@@ -24,7 +24,7 @@
   return { clock, platform, connect }
 }
 
-/** Runs a call to its end on virtual time; gives back its result and how long it took. */
+/** Runs a call to its end on virtual time; returns its result and its duration in ms. */
 async function run<T> (clock: VirtualClock, call: Promise<T>): Promise<{ readonly result: T, readonly time: number }> {
   const began = clock.now()
   let result: { readonly value: T } | undefined
@@ -35,7 +35,7 @@
   }
 }
 
-test('the reply to a write is lost: it is sent again with its id, and took effect once', async t => {
+test('a write whose reply is lost is resent with its id and takes effect once', async t => {
   const { clock, platform, connect } = start()
   platform.setFaults({ lostReplies: 1 })
   const client = connect()
@@ -46,9 +46,9 @@
   t.is(platform.objects.revision, 1)
 })
 
-test('no reply ever comes, or another has written since: unknown, never a conflict', async t => {
-  // The caller sees "unknown". What happens: the write takes effect, its reply is lost, and before it is sent again
-  // another one overwrites it. Why: "conflict" would say that nothing was written, though it was.
+test('a write without a reply, or overwritten before it is resent, is unknown and never a conflict', async t => {
+  // The write takes effect, its reply is lost, and another one overwrites it before it is resent. "conflict" would mean that
+  // nothing was written, though it was.
   const { clock, platform, connect } = start()
   platform.setFaults({ lostReplies: 1 })
   const client = connect()
@@ -63,10 +63,10 @@
   t.is(platform.objects.read('k', 'b')?.value, 'late')
 })
 
-test('what is said of a write stays true, also once everything delayed has landed', async t => {
-  // The caller acts on the answer: "written" must be there, and a write refused as conflict, limited or unavailable
-  // must never show up. What happens: replies lost, writes landing late, rates and outages, three writers racing on two
-  // objects. Why: a write that landed after its refusal would revive what its writer has given up.
+test('the outcome of a write stays true after all delayed writes have been applied', async t => {
+  // Three writers race on two objects, with lost replies, delayed writes and rate limits. A write reported as written must
+  // be in the store, and one refused as conflict, limited or unavailable must never take effect later, after its writer has
+  // abandoned it.
   const step = fc.record({ writer: fc.nat(2), name: fc.constantFrom('a', 'b'), known: fc.nat(2), after: fc.integer({ min: 0, max: 400 }) })
   const faults: fc.Arbitrary<PlatformFaults> = fc.record({
     lostReplies: fc.constantFrom(0, 0.3, 0.6),
@@ -99,7 +99,7 @@
   t.pass()
 })
 
-test('in a silent outage the first writes wait, and then all are refused at once', async t => {
+test('in an outage without answers the first writes wait, and all later ones are refused at once', async t => {
   const { clock, platform, connect } = start()
   const client = connect()
   await run(clock, client.put('k', 'a', 1, 0))
@@ -117,7 +117,7 @@
   t.true((await run(clock, client.put('k', 'c', 1, 0, 'caller'))).result.ok)
 })
 
-/** Loops that read, and try again a quarter of a second after a failure, as the parts of a daemon do. */
+/** Starts loops that poll, and retry sooner after a failure, as the parts of a daemon do. */
 function startLoops (clock: VirtualClock, read: () => Promise<boolean>): void {
   const loop = async (): Promise<never> => {
     for (;;) {
@@ -159,7 +159,7 @@
   t.true(after.refused < before.refused / 10)
 })
 
-test('daemons that want much share the rate evenly, and few calls are refused', async t => {
+test('busy daemons share the rate evenly, and few calls are refused', async t => {
   const { clock, platform, connect } = start()
   platform.setFaults({ writesPerSecond: 100 })
   const counts = [0, 0, 0, 0]
@@ -175,13 +175,13 @@
   await clock.advance(MEASURED_FROM + 60 * SECOND)
   const total = counts.reduce((sum, count) => sum + count, 0)
   const refused = platform.calls.filter(({ at, refused }) => refused && at > MEASURED_FROM).length
-  t.log(`writes taken in 60 s: ${counts.join(', ')}; refused ${refused}`)
+  t.log(`writes accepted in 60 s: ${counts.join(', ')}; refused ${refused}`)
   t.true(Math.max(...counts) < 1.3 * Math.min(...counts))
   t.true(total > 0.7 * 60 * 100)
   t.true(refused < 0.1 * total)
 })
 
-test('callers go before the background when the budget is short', async t => {
+test('callers\' writes precede background writes when the budget is short', async t => {
   const { clock, platform, connect } = start()
   platform.setFaults({ writesPerSecond: 20 })
   const client = connect()
@@ -194,6 +194,6 @@
     if ((await run(clock, client.put('k', `caller-${i}`, 1, 0, 'caller'))).result.ok) taken++
     await clock.advance(400)
   }
-  t.log(`${taken} of 20 callers' writes taken`)
+  t.log(`${taken} of 20 callers' writes accepted`)
   t.true(taken >= 18)
 })
--- a/test/store/store-mirror.test.ts
+++ b/test/store/store-mirror.test.ts
@@ -4,9 +4,9 @@
 
 const put = (name: string, version: number, value = version): { kind: string, name: string, version: number, value: number } => ({ kind: 'k', name, version, value })
 
-// News of one object comes from the store and from several daemons, late, twice and in any order. A server that has left
-// must not come back by news that is older than its going.
-test('news in any order and any number leads to the newest state', t => {
+// Changes of one object arrive from the store and from several daemons, late, twice and in any order. A change older than an
+// object's removal must not restore it.
+test('changes in any order, some of them twice, lead to the newest state', t => {
   const updates = [
     { revision: 1, changed: [put('a', 1)], deleted: [] },
     { revision: 2, changed: [put('b', 2)], deleted: [] },
@@ -22,7 +22,7 @@
   t.pass()
 })
 
-test('a whole batch removes what it does not name, but nothing newer', t => {
+test('a whole batch removes objects that it does not contain, but none newer than it', t => {
   const mirror = new StoreMirror<number>()
   mirror.apply({ revision: 4, changed: [put('a', 1), put('b', 4)], deleted: [], whole: true })
   mirror.merge({ revision: 9, changed: [put('c', 9)], deleted: [] })
@@ -31,7 +31,7 @@
   t.is(mirror.cursor, 6)
 })
 
-test('a value that can not be read is held and names nothing', t => {
+test('a value that can not be decoded is held but not listed', t => {
   const mirror = new StoreMirror<number>()
   mirror.apply({ revision: 2, changed: [{ kind: 'k', name: 'a', version: 2, value: undefined as unknown as number }], deleted: [] })
   t.is(mirror.list().size, 0)
