--- a/test/adapter/decode.test.ts
+++ b/test/adapter/decode.test.ts
@@ -3,22 +3,22 @@
 import { decodeInstance } from '../../platform/decode-instance.js'
 import { decodeJobItems } from '../../platform/decode-job-items.js'
 
-const entry = { service: 'helm', addr: '10.128.0.9:8080', zone: 'a', version: 'v1', slots: 8, state: 'ready', cold_left_ms: 0, seq: 4 }
+const registration = { service: 'helm', addr: '10.128.0.9:8080', zone: 'a', version: 'v1', slots: 8, state: 'ready', cold_left_ms: 0, seq: 4 }
 
-test('an entry of a server', t => {
-  t.deepEqual(decodeInstance('i-1', entry), { name: 'i-1', pool: 'helm', host: '10.128.0.9', port: 8080, failureDomain: 'a', region: '', state: 'live', slots: 8 })
-  t.is(decodeInstance('i-1', { ...entry, state: 'draining' })?.state, 'leaving')
-  t.is(decodeInstance('i-1', { ...entry, slots: 'many' })?.slots, undefined)
+test('the registration of a server', t => {
+  t.deepEqual(decodeInstance('i-1', registration), { name: 'i-1', pool: 'helm', host: '10.128.0.9', port: 8080, failureDomain: 'a', region: '', state: 'live', slots: 8 })
+  t.is(decodeInstance('i-1', { ...registration, state: 'draining' })?.state, 'leaving')
+  t.is(decodeInstance('i-1', { ...registration, slots: 'many' })?.slots, undefined)
 })
 
-// Another writer's entries stand among those of the servers: none of them may stop the others from being read.
+// Objects of other writers may be among the servers' registrations; they must be skipped.
 const unreadable: readonly unknown[] = [
-  undefined, null, 7, 'text', [], {}, { ...entry, addr: undefined }, { ...entry, addr: 9 }, { ...entry, addr: 'host:80' }, { ...entry, addr: '10.0.0.1:99999' },
-  { ...entry, state: 'resting' }, { ...entry, state: undefined }, { ...entry, service: { name: 'helm' } }
+  undefined, null, 7, 'text', [], {}, { ...registration, addr: undefined }, { ...registration, addr: 9 }, { ...registration, addr: 'host:80' }, { ...registration, addr: '10.0.0.1:99999' },
+  { ...registration, state: 'resting' }, { ...registration, state: undefined }, { ...registration, service: { name: 'helm' } }
 ]
 
 for (const value of unreadable) {
-  test(`names no server: ${JSON.stringify(value)}`, t => { t.is(decodeInstance('i-1', value), undefined) })
+  test(`not a registration: ${JSON.stringify(value)}`, t => { t.is(decodeInstance('i-1', value), undefined) })
 }
 
 const route = { name: 'r', host: 'h', path_prefix: '/p/', kind: 'streaming', timeout_ms: 5_000, slo_ms: 300, priority: 0, service: 's', attempts: 2, resumable: true }
@@ -42,7 +42,7 @@
   })
 }
 
-test('what is no configuration is none', t => {
+test('a malformed configuration is undefined', t => {
   for (const value of [undefined, null, 5, {}, { ...configuration, version: 'new' }, { ...configuration, routes: undefined }]) t.is(decodeConfiguration(value), undefined)
 })
 
--- a/test/adapter/entry-dialect.test.ts
+++ b/test/adapter/entry-dialect.test.ts
@@ -6,7 +6,7 @@
   return { method, url, headers: { host: 'Desk.example', ...headers } } as unknown as IncomingMessage
 }
 
-test('what is passed on is without what concerns one connection, or is set anew for each server', t => {
+test('headers of one connection, and those set for each server, are not passed on', t => {
   const head = entryDialect.readHead(createRequest('/p/1?x=%2F..', {
     'x-request-id': 'r', 'x-deadline-ms': '4200', 'last-event-id': '7', 'x-prompt-prefix': '5c:800,91:410', 'x-model': 'm', connection: 'keep-alive, x-hop', 'x-hop': '1', 'content-length': '3', te: 'trailers'
   }))
@@ -29,7 +29,7 @@
   test(`${method} ${url}`, t => { t.deepEqual(entryDialect.readJobCall(createRequest(url, { 'x-wait-ms': '900' }, method)), call) })
 }
 
-test('results in the callers\' words', t => {
+test('results and addresses in the callers\' format', t => {
   t.deepEqual(entryDialect.showResults({ total: 2, next: 1, results: [{ id: 'i', state: 'failed', text: '' }] }), { total: 2, next: 1, results: [{ id: 'i', state: 'errored', text: '' }] })
   t.deepEqual(entryDialect.showAddresses(['10.1.0.10:8161'], 1_500), { addrs: ['10.1.0.10:8161'], ttl_s: 1.5 })
 })
--- a/test/adapter/object-dialect.test.ts
+++ b/test/adapter/object-dialect.test.ts
@@ -4,7 +4,7 @@
 import type { ApiCall } from '../../src/store/api-call.js'
 import type { HttpCall } from '../../src/store/http-call.js'
 
-/** The exchanges that a call makes, and what it comes to. */
+/** Sends a call against given answers; returns its HTTP exchanges and its answer. */
 async function send (call: ApiCall, answers: ReadonlyArray<readonly [number, unknown]>): Promise<{ readonly calls: readonly HttpCall[], readonly answer: ApiAnswer }> {
   const calls: HttpCall[] = []
   const answer = await objectDialect.send(call, async httpCall => {
@@ -17,7 +17,7 @@
 
 const object = (name: string, revision: number, spec: unknown): unknown => ({ metadata: { name, revision, created: 1, finalizers: [], deleting: false }, spec, status: null })
 
-test('an object of ours is created once, and replaced under its revision', async t => {
+test('one of the product\'s objects is created once, and replaced at its revision', async t => {
   const put = { type: 'put', kind: 'jobs', name: 'j', value: { a: 1 }, writeId: 'w' } as const
   const created = await send({ ...put, version: 0 }, [[201, object('j', 9, { value: { a: 1 }, writeId: 'w' })]])
   t.like(created.calls[0], { method: 'POST', path: '/api/objects/jobs', body: { metadata: { name: 'j' }, spec: { value: { a: 1 }, writeId: 'w' } } })
@@ -27,7 +27,7 @@
   t.deepEqual(replaced.answer, { type: 'answered', status: 409, body: { version: 12 } })
 })
 
-test('a first watch reads all pages; a later one what changed, each object once', async t => {
+test('a first watch reads all pages; a later one returns each changed object once', async t => {
   const first = await send({ type: 'watch', kind: 'evacuations', revision: -1, wait: 100 }, [
     [200, { items: [object('a', 3, { duration_s: 9 })], more_pages: true, current_rev: 8 }],
     [200, { items: [object('b', 7, {})], more_pages: false, current_rev: 9 }]
@@ -41,19 +41,19 @@
   t.like((later.answer as { body: object }).body, { revision: 12, deleted: ['a'], changed: [{ name: 'c', version: 12 }] })
 })
 
-// The store drops its history while a daemon's watch is cut: what changed in the gap is only to be had by reading all.
-test('history that has gone is made up for by a list', async t => {
+// The store compacts its history while a daemon's watch is interrupted: only a full list shows what changed meanwhile.
+test('a watch from a compacted revision falls back to a list', async t => {
   const { calls, answer } = await send({ type: 'watch', kind: 'evacuations', revision: 8, wait: 100 }, [[410, {}], [200, { items: [], more_pages: false, current_rev: 40 }]])
   t.is(calls.length, 2)
   t.like((answer as { body: object }).body, { revision: 40, whole: true, changed: [] })
 })
 
-test('the newest configuration is asked for by the store\'s own name of it', async t => {
+test('the configuration is read under the store\'s name of it', async t => {
   const { calls } = await send({ type: 'get', kind: 'configuration', name: 'manifest' }, [[404, {}]])
   t.is(calls[0]!.path, '/api/objects/config/main')
 })
 
-test('the state of an evacuation is said in the store\'s words', async t => {
+test('the state of an evacuation is written as the store\'s status', async t => {
   const { calls } = await send({ type: 'put status', kind: 'evacuations', name: 'n', status: { state: 'done' } }, [[200, {}]])
   t.like(calls[0], { method: 'PUT', path: '/api/objects/retirements/n/status', body: { status: { state: 'completed' } } })
 })
