--- a/src/kernel/extension-point.ts
+++ b/src/kernel/extension-point.ts
@@ -1,8 +1,8 @@
 import type { Extension } from './extension.js'
 
 /**
- * A declared place where parts add behaviour to one another. A part lists its extensions; the part that
- * declared the point reads them, in the order the parts were created, from `Extensions`.
+ * A point at which parts extend another part. A part lists its extensions; the part that declares the point reads them
+ * from `Extensions`, in the order in which the parts were created.
  *
  * @example
  * const routePoint = new ExtensionPoint<Route>('routes')
--- a/src/kernel/extension.ts
+++ b/src/kernel/extension.ts
@@ -1,6 +1,6 @@
 import type { ExtensionPoint } from './extension-point.js'
 
-/** One value contributed to one extension point. */
+/** A value that a part contributes to an extension point. */
 export interface Extension {
   readonly point: ExtensionPoint<unknown>
   readonly value: unknown
--- a/src/kernel/extensions.ts
+++ b/src/kernel/extensions.ts
@@ -1,7 +1,7 @@
 import type { Extension } from './extension.js'
 import type { ExtensionPoint } from './extension-point.js'
 
-/** Everything the parts of one daemon have contributed. Complete before the first part starts. */
+/** The extensions of all parts of one daemon. Complete before the first part starts. */
 export class Extensions {
   private readonly added: Extension[] = []
 
@@ -10,7 +10,7 @@
     this.added.push(...extensions)
   }
 
-  /** All values contributed to `point`, in the order their parts were created. */
+  /** Returns all values contributed to `point`, in the order in which their parts were created. */
   collect<T> (point: ExtensionPoint<T>): readonly T[] {
     return this.added.filter(extension => extension.point === point as unknown).map(extension => extension.value as T)
   }
--- a/src/kernel/kernel.ts
+++ b/src/kernel/kernel.ts
@@ -3,9 +3,7 @@
 import type { Part } from './part.js'
 import { partRegistry } from './part-registry.js'
 
-/**
- * One daemon: its parts, resolved from a container of its own, and the order in which they start and end.
- */
+/** Runs one daemon: creates its parts from a container of its own, and starts and stops them in order. */
 export class Kernel {
   readonly container: DependencyContainer = rootContainer.createChildContainer()
   private readonly extensions = new Extensions()
@@ -15,7 +13,7 @@
     this.container.registerInstance(Extensions, this.extensions)
   }
 
-  /** Creates every registered part, then starts each after those it needs. */
+  /** Creates all registered parts, then starts each after those that it needs. */
   async start (): Promise<void> {
     const definitions = partRegistry.order()
     this.parts = definitions.map(({ part }) => this.container.resolve(part as InjectionToken<Part>))
@@ -23,7 +21,7 @@
     for (const part of this.parts) await part.start?.()
   }
 
-  /** Ends gracefully: all parts drain together, then stop in reverse order. */
+  /** Shuts down gracefully: drains all parts concurrently, then stops them in reverse order. */
   async shutDown (): Promise<void> {
     await Promise.all(this.parts.map(part => part.drain?.()))
     for (const part of [...this.parts].reverse()) await part.stop?.()
--- a/src/kernel/live-settings.ts
+++ b/src/kernel/live-settings.ts
@@ -1,6 +1,6 @@
-/** Settings that change while the process runs: whoever holds `view` reads what is in force at that moment. */
+/** Settings that can change while the process runs; `view` always reads the current ones. */
 export class LiveSettings<T extends object> {
-  /** Reads as the settings in force. */
+  /** A proxy of the current settings. */
   readonly view: T
 
   constructor (private current: T, private readonly options: { readonly fixed?: ReadonlyArray<keyof T> } = {}) {
@@ -8,8 +8,8 @@
   }
 
   /**
-   * Takes new settings, but for the fixed ones: a process can't move to another address while it serves. Gives back which took
-   * effect, and which wait for the next start.
+   * Replaces the settings, except the fixed ones, such as the addresses that the process listens on. Returns the settings that
+   * have changed, and those whose change waits for the next start.
    */
   replace (next: T): { readonly changed: ReadonlyArray<keyof T>, readonly waiting: ReadonlyArray<keyof T> } {
     const { fixed = [] } = this.options
--- a/src/kernel/on-demand-task.ts
+++ b/src/kernel/on-demand-task.ts
@@ -1,19 +1,19 @@
 import type { Clock } from './clock.js'
 
-/** Times in ms. `run` says whether there is more to look for. */
+/** `period` in ms. `run` returns whether it needs to run again. */
 interface OnDemandTaskOptions {
   readonly clock: Pick<Clock, 'every'>
   readonly period: number
   readonly run: () => boolean
 }
 
-/** A periodic task that sleeps while it has nothing to look for, and costs nothing then. */
+/** A periodic task that has no timer while there is nothing to do. */
 export class OnDemandTask {
   private cancel: (() => void) | undefined
 
   constructor (private readonly options: OnDemandTaskOptions) {}
 
-  /** Runs it every period from now on, until it says that there is nothing to look for. */
+  /** Runs the task every period until it returns false. */
   wake (): void {
     this.cancel ??= this.options.clock.every(this.options.period, () => { if (!this.options.run()) this.stop() })
   }
--- a/src/kernel/part-definition.ts
+++ b/src/kernel/part-definition.ts
@@ -1,6 +1,6 @@
 /**
- * How a part announces itself: its class, resolved once a daemon, and the names of parts to start before it. The
- * class implements what it needs of `Part`, which may be nothing.
+ * Registration of a part: its class, which is instantiated once per daemon, and the names of the parts to start before it.
+ * The class may implement any members of `Part`, or none.
  */
 export interface PartDefinition {
   readonly name: string
--- a/src/kernel/part-registry.ts
+++ b/src/kernel/part-registry.ts
@@ -1,24 +1,24 @@
 import type { PartDefinition } from './part-definition.js'
 
 /**
- * The parts this program knows. Each part's module adds its own definition when it is imported, so that the
- * kernel and the command line name none of them.
+ * The registered parts. Each part's module registers its definition when it is imported, so that the kernel and the
+ * command line depend on none of them.
  */
 class PartRegistry {
   private readonly definitions = new Map<string, PartDefinition>()
 
   register (definition: PartDefinition): void {
-    if (this.definitions.has(definition.name)) throw new Error(`two parts are named ${definition.name}`)
+    if (this.definitions.has(definition.name)) throw new Error(`part "${definition.name}" is registered twice`)
     this.definitions.set(definition.name, definition)
   }
 
-  /** All definitions, each after those it needs. Throws where a need is unknown or circular. */
+  /** Returns all definitions, each after those that it needs. Throws on unknown and circular needs. */
   order (): readonly PartDefinition[] {
     const ordered: PartDefinition[] = []
     const visit = (name: string, path: readonly string[]): void => {
       const definition = this.definitions.get(name)
-      if (definition === undefined) throw new Error(`${path.at(-1)} needs the unknown part ${name}`)
-      if (path.includes(name)) throw new Error(`parts need one another: ${[...path, name].join(' > ')}`)
+      if (definition === undefined) throw new Error(`part "${path.at(-1)}" needs the unknown part "${name}"`)
+      if (path.includes(name)) throw new Error(`circular needs of parts: ${[...path, name].join(' > ')}`)
       if (ordered.includes(definition)) return
       for (const need of definition.needs ?? []) visit(need, [...path, name])
       ordered.push(definition)
--- a/src/kernel/part.ts
+++ b/src/kernel/part.ts
@@ -1,17 +1,17 @@
 import type { Extension } from './extension.js'
 
 /**
- * One part of a daemon. The kernel creates all parts, then starts them in order of their needs. At shutdown it
- * drains every part at once, the waits overlapping, and then stops them in reverse order.
+ * A component of a daemon. The kernel creates all parts, then starts them in the order of their needs. At shutdown it
+ * drains all parts concurrently, then stops them in reverse order.
  */
 export interface Part {
   readonly extensions?: readonly Extension[]
   start? (): Promise<void>
   /**
-   * Begins no work of its own from here on; resolves once what was running has ended. Requests still come in by the
-   * entry while parts drain, and are to be served as before.
+   * Starts no work of its own from now on; resolves once running work has ended. While parts drain, requests still
+   * arrive and must be served as before.
    */
   drain? (): Promise<void>
-  /** Lets go of sockets and timers. */
+  /** Closes sockets and cancels timers. */
   stop? (): Promise<void>
 }
--- a/src/kernel/pause-for.ts
+++ b/src/kernel/pause-for.ts
@@ -1,7 +1,7 @@
 import type { Clock } from './clock.js'
 
 /**
- * Resolves after `time` ms of the clock.
+ * Resolves after `time` ms by `clock`.
  *
  * @example
  * await pauseFor(clock, random.spread(RETRY))
--- a/src/kernel/pause-watch.ts
+++ b/src/kernel/pause-watch.ts
@@ -4,21 +4,22 @@
 import { partRegistry } from './part-registry.js'
 import { tokens } from './tokens.js'
 
-/** Well below the pause that is looked for, and together with the other periodic tasks: each tick wakes the process. */
+/** Interval of checks, ms: well below `MIN_PAUSE`, and shared with other periodic tasks, to save wake-ups. */
 const TICK_PERIOD = 250
+/** Gap between two checks that counts as a pause, ms: longer than any delay of a healthy event loop. */
 const MIN_PAUSE = 1_500
 
 /**
- * Notices that the process stood still. A daemon that was frozen past its leases goes on, when it thaws, with
- * what it believed before; its symptom is a second holder acting on what others took over meanwhile. Parts call
- * `check` before they act on a belief that can lapse: a gap between ticks longer than any wait of a healthy loop
- * tells them first, because `check` itself compares the clocks and doesn't rely on a timer having run. The steady clock of a
- * suspended machine stands still, so the time of day is compared too; one that is set forward looks like a pause, which costs a
- * look at what was believed and no more.
+ * Detects that the process was paused, for example suspended or stopped. A daemon that is paused for longer than its leases
+ * resumes with outdated state, and may act on what others have taken over meanwhile. Parts call `check` before they act on state
+ * that can expire; it compares the clocks itself, and so detects a pause before any timer has run.
+ *
+ * The monotonic clock may stop while a machine is suspended, so that the wall clock is compared too. Setting that forward
+ * counts as a pause, which only costs a check of such state.
  */
 @scoped(Lifecycle.ContainerScoped)
 export class PauseWatch implements Part {
-  /** Pauses noticed so far: what was asked for under another count may be from before a pause. */
+  /** Pauses detected so far. An answer to a request made under another count may be outdated. */
   count = 0
   private lastTime: number
   private lastDate: number
@@ -40,7 +41,7 @@
     this.cancel()
   }
 
-  /** Tells the listeners, before it returns, if the process has stood still since the last check. */
+  /** If the process was paused since the last check, notifies the listeners before it returns. */
   check (): void {
     const [now, date] = [this.clock.now(), this.clock.date()]
     const gap = Math.max(now - this.lastTime, date - this.lastDate)
@@ -51,7 +52,7 @@
     for (const listener of this.listeners) listener(gap)
   }
 
-  /** `listener` gets the length of each pause in ms. */
+  /** Calls `listener` with the length of each pause, ms. */
   subscribe (listener: (gap: number) => void): void {
     this.listeners.add(listener)
   }
--- a/src/kernel/periodic-tasks.ts
+++ b/src/kernel/periodic-tasks.ts
@@ -2,13 +2,13 @@
 
 interface Task { readonly period: number, readonly run: () => void, due: number }
 
-/** Timers may fire a little before the ms they were set for. */
+/** Timers may fire up to this early, ms. */
 const TIMER_TOLERANCE = 1
 
 /**
- * Runs all periodic tasks of a process from one timer, each at the multiples of its period, so that tasks of 100, 250
- * and 500 ms wake the process together: a timer of its own for each woke an idle daemon 130 times a second, which
- * cost more than the tasks did. A task that falls behind is run once, not once for each time it missed.
+ * Runs all periodic tasks of a process from one timer, each at multiples of its period, so that tasks of different periods
+ * wake the process together; a timer for each would wake an idle daemon far more often. A task that falls behind runs once,
+ * not once for each period that it missed.
  */
 export class PeriodicTasks {
   private readonly tasks = new Set<Task>()
@@ -17,7 +17,7 @@
 
   constructor (private readonly clock: Pick<Clock, 'now' | 'after'>) {}
 
-  /** Runs `run` first after half a period at least; the function it gives back ends it. */
+  /** Calls `run` every period, first after at least half a period; the returned function removes the task. */
   add (period: number, run: () => void): () => void {
     const task: Task = { period, run, due: findDue(this.clock.now() + period / 2, period) }
     this.tasks.add(task)
@@ -40,7 +40,7 @@
     this.cancel = this.clock.after(Math.max(0, due - this.clock.now()), () => this.runDue())
   }
 
-  /** The next wake-up is set before a task can throw: the others go on whatever one of them does. */
+  /** Sets the next timer before it runs the tasks, so that one that throws doesn't stop the others. */
   private runDue (): void {
     const now = this.clock.now() + TIMER_TOLERANCE
     const due = [...this.tasks].filter(task => task.due <= now)
@@ -51,7 +51,7 @@
   }
 }
 
-/** The first multiple of `period` after `time`. */
+/** Returns the first multiple of `period` after `time`. */
 function findDue (time: number, period: number): number {
   return (Math.floor(time / period) + 1) * period
 }
--- a/src/kernel/random.ts
+++ b/src/kernel/random.ts
@@ -1,5 +1,5 @@
 /**
- * A seeded source of random numbers (mulberry32), so that a run can be repeated from its seed.
+ * A seeded random number generator (mulberry32), so that a run can be repeated from its seed.
  *
  * @example
  * const random = new Random(7)
@@ -8,7 +8,7 @@
 export class Random {
   constructor (private state: number) {}
 
-  /** A number in [0, 1). */
+  /** Returns a number in [0, 1). */
   next (): number {
     this.state = (this.state + 0x6d2b79f5) | 0
     let t = Math.imul(this.state ^ (this.state >>> 15), 1 | this.state)
@@ -16,12 +16,12 @@
     return ((t ^ (t >>> 14)) >>> 0) / 2 ** 32
   }
 
-  /** A whole number in [0, bound). */
+  /** Returns an integer in [0, bound). */
   below (bound: number): number {
     return Math.floor(this.next() * bound)
   }
 
-  /** `value` moved by up to `share` of itself either way. Spreads what would otherwise happen at once. */
+  /** Returns `value` with a jitter of up to `share` of it either way. */
   spread (value: number, share = 0.25): number {
     return value * (1 + share * (2 * this.next() - 1))
   }
--- a/src/kernel/settings-watch.ts
+++ b/src/kernel/settings-watch.ts
@@ -2,25 +2,25 @@
 import type { LogSink } from '../observe/log-sink.js'
 import type { Clock } from './clock.js'
 
-/** Between two looks at the file, ms: it may change without a word, and nobody waits for it within seconds. */
+/** Interval of checks of the file, which may change without a signal, ms. */
 const POLL_PERIOD = 2_000
 
 interface SettingsWatchOptions {
   readonly file: string
   readonly clock: Clock
   readonly log: LogSink
-  /** Reads the file anew and puts it in force; throws where it can't be read. Says what to log. */
+  /** Reads the file and applies it; throws where it is malformed. Returns the log fields. */
   readonly apply: () => Readonly<Record<string, unknown>>
 }
 
-/** Puts a settings file in force whenever it has changed, told so by SIGHUP or not. One that can't be read leaves what was in force. */
+/** Applies a settings file whenever it has changed, on SIGHUP or by polling. A malformed file changes nothing. */
 export class SettingsWatch {
   private text: string
 
   constructor (private readonly options: SettingsWatchOptions) {
     this.text = readFileSync(options.file, 'utf8')
     process.on('SIGHUP', () => {
-      options.log.write('info', 'kernel', 'was told of new settings', { file: options.file })
+      options.log.write('info', 'kernel', 'received SIGHUP', { file: options.file })
       this.check()
     })
     options.clock.every(POLL_PERIOD, () => this.check())
@@ -32,9 +32,9 @@
       const text = readFileSync(file, 'utf8')
       if (text === this.text) return
       this.text = text
-      log.write('info', 'kernel', 'read its changed settings', apply())
+      log.write('info', 'kernel', 'reloaded the settings', apply())
     } catch (error) {
-      log.write('error', 'kernel', 'could not read its changed settings, and goes on with those it had', { file, error: (error as Error).message })
+      log.write('error', 'kernel', 'could not reload the settings; the previous ones stay in force', { file, error: (error as Error).message })
     }
   }
 }
--- a/src/kernel/settings.ts
+++ b/src/kernel/settings.ts
@@ -1,6 +1,6 @@
 import type { Seed } from './seed.js'
 
-/** The daemon's own settings, read once at start. Times are in ms, sizes in bytes. */
+/** Settings of one daemon, read once at start. Times in ms, sizes in bytes. */
 export interface Settings {
   /** Name of this instance, unique in the fleet. */
   readonly instance: string
@@ -13,25 +13,25 @@
     /** Port for the other daemons; 0 lets the system choose. */
     readonly peerPort: number
   }
-  /** Address at which callers and other daemons reach this instance; `listen.host` where it is left out. */
+  /** Address at which callers and other daemons reach this instance; defaults to `listen.host`. */
   readonly address?: string
-  /** Base address of the platform's object API. */
+  /** Base URL of the platform's object API. */
   readonly platform: string
-  /** Secret shared by the daemons, which proves a peer. */
+  /** Secret shared by the daemons, which authenticates a peer. */
   readonly peerKey: string
   /** Token that operators present. */
   readonly operatorToken: string
-  /** Folder for bulk data on instances that have a disk. */
+  /** Directory for bulk data on instances that have a disk. */
   readonly dataFolder?: string
-  /** How batch work shares servers with online requests; `preempting` where it is left out. */
+  /** How batch work shares servers with online requests; defaults to `preempting`. */
   readonly batchPolicy?: {
     readonly type: 'none' | 'forward' | 'static' | 'load reports' | 'preempting'
-    /** Batch streams a server for the type `static`. */
+    /** Batch streams per server for the type `static`. */
     readonly streams?: number
     /** Whether batch items with long prompts are paced for the type `preempting`. */
     readonly longPrompts?: 'paced' | 'at once'
   }
-  /** Other daemons to ask when this one starts while the platform is out. */
+  /** Daemons to contact when this one starts while the platform is out. */
   readonly seeds?: readonly Seed[]
   readonly log: { readonly level: 'error' | 'warn' | 'info' | 'debug', readonly format: 'text' | 'json' }
 }
--- a/src/kernel/suggest-word.ts
+++ b/src/kernel/suggest-word.ts
@@ -1,7 +1,7 @@
 const MAX_DISTANCE = 3
 
 /**
- * The known word nearest to a wrong one by edit distance, if any is near enough to be meant.
+ * Returns the known word with the least edit distance to a wrong one; undefined where none is close.
  *
  * @example
  * suggestWord('aply', ['apply', 'account']) // 'apply'
--- a/src/kernel/system-clock.ts
+++ b/src/kernel/system-clock.ts
@@ -2,7 +2,7 @@
 import type { Clock } from './clock.js'
 import { PeriodicTasks } from './periodic-tasks.js'
 
-/** The clock of the running process. Its timers keep the process alive. */
+/** The clock of the process. Its timers keep the process running. */
 export class SystemClock implements Clock {
   private readonly tasks = new PeriodicTasks(this)
 
--- a/src/kernel/tokens.ts
+++ b/src/kernel/tokens.ts
@@ -10,19 +10,19 @@
 import type { ObjectStore } from '../store/object-store.js'
 import type { LogSink } from '../observe/log-sink.js'
 
-/** Injection tokens of what isn't a class of its own: interfaces that a test replaces. */
+/** Injection tokens for interfaces and for values that tests replace. */
 export const tokens = {
   clock: Symbol('clock') as InjectionToken<Clock>,
   random: Symbol('random') as InjectionToken<Random>,
   settings: Symbol('settings') as InjectionToken<Settings>,
   store: Symbol('store') as InjectionToken<ObjectStore>,
-  /** The client behind `store`, where calls may go by way of peers. */
+  /** The client behind `store`, which can relay calls through peers. */
   storeClient: Symbol('store client') as InjectionToken<PlatformClient>,
   log: Symbol('log') as InjectionToken<LogSink>,
-  /** How callers speak to the door for requests by host and path, how its servers are spoken to, and where it listens. */
+  /** For the entry that routes requests by host and path: formats of its callers and of its servers, and its settings. */
   entryDialect: Symbol('door') as InjectionToken<EntryDialect>,
   serverDialect: Symbol('servers') as InjectionToken<ServerDialect>,
   routedSettings: Symbol('routed') as InjectionToken<RoutedSettings>,
-  /** What listens at that door already, where anything does. */
+  /** The server that listens for that entry already, if any. */
   earlyServer: Symbol('early') as InjectionToken<EarlyServer | undefined>
 }
--- a/src/kernel/wait-for-notification.ts
+++ b/src/kernel/wait-for-notification.ts
@@ -1,6 +1,6 @@
 import type { Clock } from './clock.js'
 
-/** Resolves at the next call of a listener that `subscribe` takes, or after `timeout` ms; either way the listener is gone. */
+/** Resolves at the next notification of a listener passed to `subscribe`, or after `timeout` ms, and removes the listener. */
 export async function waitForNotification (clock: Pick<Clock, 'after'>, subscribe: (listener: () => void) => () => void, timeout: number): Promise<void> {
   await new Promise<void>(resolve => {
     const end = (): void => {
--- a/test/kernel/periodic-tasks.test.ts
+++ b/test/kernel/periodic-tasks.test.ts
@@ -4,8 +4,7 @@
 import { PeriodicTasks } from '../../src/kernel/periodic-tasks.js'
 import { VirtualClock } from '../helpers/virtual-clock.js'
 
-// An idle daemon has some fifteen periodic tasks. With a timer each it woke 130 times a second to look for nothing;
-// on shared times it wakes as often as its shortest period asks, whenever the tasks were added.
+// The process must wake only as often as the shortest period requires, whenever the tasks were added.
 test('tasks of several periods wake the process together', async t => {
   const clock = new VirtualClock()
   const wakes = new Set<number>()
@@ -23,7 +22,7 @@
   t.deepEqual([...counts].map(([period, count]) => Math.round(count / 10_000 * period)), [3, 1, 1, 1])
 })
 
-test('each task runs at its rate, whichever are added and removed beside it', async t => {
+test('each task runs at its rate, whichever others are added and removed', async t => {
   await fc.assert(fc.asyncProperty(fc.array(fc.tuple(fc.integer({ min: 5, max: 400 }), fc.nat(500), fc.nat(2_000)), { maxLength: 6 }), async added => {
     const clock = new VirtualClock()
     const tasks = new PeriodicTasks(clock)
@@ -36,7 +35,7 @@
   }), { numRuns: 200, seed: 5 })
 })
 
-test('a process that stood still runs each task once, and one that throws stops no other', async t => {
+test('after a pause of the process each task runs once, and one that throws stops no other', async t => {
   const clock = new VirtualClock()
   const tasks = new PeriodicTasks(clock)
   let runs = 0
@@ -54,7 +53,7 @@
   t.is(runs, 5)
 })
 
-test('an ended task runs no more, even by one of the same time', async t => {
+test('a task removed by another one of the same time does not run', async t => {
   const clock = new VirtualClock()
   const tasks = new PeriodicTasks(clock)
   let runs = 0
@@ -64,7 +63,7 @@
   t.is(runs, 0)
 })
 
-test('a task on demand sleeps when it finds nothing, until it is woken', async t => {
+test('an on-demand task runs until it has nothing to do, and again when woken', async t => {
   const clock = new VirtualClock()
   let [runs, work] = [0, 0]
   const task = new OnDemandTask({ clock, period: 20, run: () => { runs++; return --work > 0 } })
