--- a/src/http/early-server.ts
+++ b/src/http/early-server.ts
@@ -1,6 +1,6 @@
 import type { Server, Socket } from 'node:net'
 
-/** A server that listened before the program was there, and the connections that it has accepted since, of which nothing is read. */
+/** A server that listens before the program is loaded, and the connections that it has accepted, from which nothing has been read. */
 export interface EarlyServer {
   readonly server: Server
   readonly waiting: Socket[]
--- a/src/http/is-address-gone.ts
+++ b/src/http/is-address-gone.ts
@@ -1,23 +1,24 @@
 import { connect } from 'node:net'
 
+/** Limit for connecting and for the first byte of an answer, ms. */
 const TIMEOUT = 250
 const ATTEMPTS = 10
-/** Between attempts, ms. */
+/** Delay between attempts, ms. */
 const RETRY_DELAY = 20
-/** Asked nothing, a process lives if it keeps the connection open for this long, ms. */
+/** Without a probe, a process counts as alive if it keeps the connection open for this long, ms. */
 const MIN_OPEN_TIME = 40
 
 interface ProbedAddress {
   readonly host: string
   readonly port: number
-  /** What a process that lives answers. Left out, it need only keep the connection open. */
+  /** A request that a live process answers. Left out, the process only has to keep the connection open. */
   readonly probe?: string
 }
 
 /**
- * Whether nothing listens at an address any more, as after the end of a process. Silence doesn't count as that: an instance that is
- * frozen, cut off or without power may come back with all it had. A process that is ending still takes connections for some ms
- * and closes them unread, so that one that is closed is tried again.
+ * Whether nothing listens at an address, as after the end of a process. A timeout doesn't count: a paused or partitioned
+ * instance may come back with its state. A process that is exiting may accept connections for some ms more and close them
+ * unread, so that a closed connection is retried.
  *
  * @example
  * if (await isAddressGone({ host: '10.0.0.2', port: 7420 })) members.remove('entry-2')
@@ -42,7 +43,7 @@
     else socket.write(probe)
     socket.once('data', () => settle('alive'))
     socket.once('close', () => settle('closed'))
-    // A loop that is late runs timers before what has come in: what waits is read before silence is believed.
+    // A delayed event loop runs timers before it reads sockets, so that data which has arrived is read before the timeout counts.
     socket.once('timeout', () => setImmediate(() => settle('silent')))
     socket.once('error', error => settle((error as NodeJS.ErrnoException).code === 'ECONNREFUSED' ? 'refused' : 'closed'))
   })
--- a/src/http/read-body.ts
+++ b/src/http/read-body.ts
@@ -2,9 +2,9 @@
 import { Err, Ok, type Result } from 'ts-results'
 
 /**
- * Reads a whole request body of at most `limit` bytes. A longer one is an error as soon as that is known, so that a
- * caller can't make the daemon hold more; the rest of it is read and dropped, because a caller that is cut while it
- * sends never sees the answer that tells why.
+ * Reads a whole request body of at most `limit` bytes. Resolves to an error as soon as the body exceeds that, which bounds
+ * the memory it takes. The rest is read and discarded, because a caller whose connection is closed while it sends doesn't
+ * read the answer.
  */
 export async function readBody (req: IncomingMessage, limit: number): Promise<Result<Buffer, 'too large' | 'cut'>> {
   if (Number(req.headers['content-length'] ?? 0) > limit) {
--- a/src/http/take-over.ts
+++ b/src/http/take-over.ts
@@ -3,7 +3,7 @@
 import type { EarlyServer } from './early-server.js'
 
 /**
- * Goes on with what an early server listens on, and with the connections that wait there.
+ * Makes `server` listen on the socket of an early server, and handle the connections that wait there.
  *
  * @example
  * await takeOver(httpServer, early)
--- a/src/load/load-outcome.ts
+++ b/src/load/load-outcome.ts
@@ -1,18 +1,18 @@
-/** What came of one planned request. Times in ms from its sending. */
+/** The outcome of one planned request. Times in ms from its sending. */
 export interface LoadOutcome {
   readonly id: string
   readonly at: number
-  /** Times it was sent; a caller sends again, elsewhere, when its connection is lost or it is told when to come back. */
+  /** Attempts; a caller retries at another address after a lost connection or a refusal. */
   readonly sends?: number
   readonly outcome: 'answered' | 'refused' | 'cut' | 'lost'
-  /** Cause of a refusal, or what went wrong. */
+  /** Cause of a refusal or failure. */
   readonly cause?: string
   readonly status?: number
-  /** Whether the refusal said that the request did not run. */
+  /** Whether the refusal states that the request hasn't run. */
   readonly notRun?: boolean
   readonly retryAfter?: number
   readonly firstToken?: number
-  /** Gaps between the tokens of a stream. */
+  /** Gaps between the chunks of a stream. */
   readonly gaps?: readonly number[]
   readonly total: number
   readonly text?: string
--- a/src/load/load-summary.ts
+++ b/src/load/load-summary.ts
@@ -1,7 +1,7 @@
 /** Quantiles of a time in ms. */
 interface Quantiles { readonly p50: number, readonly p95: number, readonly p99: number, readonly p999: number }
 
-/** What a load run amounted to. */
+/** Counts and times of a load run. */
 export interface LoadSummary {
   readonly asked: number
   readonly answered: number
--- a/src/load/plan-arrivals.ts
+++ b/src/load/plan-arrivals.ts
@@ -5,8 +5,8 @@
 const MS_PER_SECOND = 1_000
 
 /**
- * The arrivals of a plan: an open-loop Poisson process whose rate is higher during bursts. The same plan gives the
- * same arrivals, so that ways of serving can be compared under the same work.
+ * Generates the arrivals of a plan: a Poisson process whose rate changes during bursts. The same plan gives the same
+ * arrivals, so that runs can be compared under the same load.
  */
 export function planArrivals (plan: LoadPlan): readonly Arrival[] {
   const random = new Random(plan.seed)
@@ -15,7 +15,7 @@
   if (highest <= 0) return arrivals
   const drawInterval = (): number => -Math.log(1 - random.next()) * MS_PER_SECOND / highest
   for (let at = drawInterval(); at < plan.duration; at += drawInterval()) {
-    // Thinning: candidates come at the highest rate and each is kept by the chance that its moment's rate gives.
+    // Thinning: draws candidates at the highest rate and keeps each with the probability of the rate at that time.
     if (random.next() < readRate(plan, at) / highest) arrivals.push(planArrival(plan, at, arrivals.length, random))
   }
   return arrivals
--- a/src/load/run-load.ts
+++ b/src/load/run-load.ts
@@ -7,17 +7,17 @@
 const TICK_PERIOD = 2
 const MS_PER_SECOND = 1_000
 
-/** How a load run is sent. `urls` is asked for each request, so that addresses may change on the way. */
+/** `urls` is called for each attempt, so that addresses may change during a run. */
 interface LoadOptions {
   readonly urls: () => readonly string[]
   readonly model: string
-  /** Most times one request is sent; above 1, callers send again after a lost connection or a refusal. */
+  /** Most attempts for one request; above 1, callers retry after any outcome but `answered`. */
   readonly sends?: number
 }
 
 /**
- * Sends planned requests at their times, whether or not earlier ones have been answered (an open loop: a slow system
- * doesn't get less load), spread over the entry addresses in turn. Resolves with all outcomes.
+ * Sends planned requests at their times, whether or not earlier ones have been answered (an open loop, in which a slow
+ * system gets no less load), over the entry addresses in turn. Resolves to all outcomes.
  */
 export async function runLoad (arrivals: readonly Arrival[], options: LoadOptions): Promise<readonly LoadOutcome[]> {
   const dispatcher = new Agent({ connections: 512, keepAliveTimeout: 1_000 })
@@ -39,15 +39,15 @@
   return outcomes
 }
 
-/** The last outcome of a request that is sent until it is answered or its sends are used up. */
+/** Sends a request until it is answered or its attempts are used up; returns the last outcome, with times from the first attempt. */
 async function sendUntilAnswered (arrival: Arrival, turn: number, { urls, model, sends = 1 }: LoadOptions, dispatcher: Dispatcher): Promise<LoadOutcome> {
   const start = performance.now()
   for (let send = 1; ; send++) {
     const addresses = urls()
     const outcome = await sendArrival(arrival, { url: addresses[(turn + send) % addresses.length]!, model, dispatcher })
     const before = performance.now() - start - outcome.total
-    const whole = { ...outcome, sends: send, total: outcome.total + before, ...(outcome.firstToken === undefined ? {} : { firstToken: outcome.firstToken + before }) }
-    if (outcome.outcome === 'answered' || send >= sends) return whole
+    const wholeOutcome = { ...outcome, sends: send, total: outcome.total + before, ...(outcome.firstToken === undefined ? {} : { firstToken: outcome.firstToken + before }) }
+    if (outcome.outcome === 'answered' || send >= sends) return wholeOutcome
     await new Promise(resolve => setTimeout(resolve, (outcome.retryAfter ?? 0) * MS_PER_SECOND))
   }
 }
--- a/src/load/send-arrival.ts
+++ b/src/load/send-arrival.ts
@@ -6,7 +6,7 @@
 const TIMEOUT = 60_000
 const END_OF_STREAM = 'data: [DONE]'
 
-/** Sends one planned request to an entry address and reads its whole answer. Never throws: a failure is an outcome. */
+/** Sends one planned request to an entry address and reads its whole answer. Never throws: a failure is returned as an outcome. */
 export async function sendArrival (arrival: Arrival, { url, model, dispatcher }: { readonly url: string, readonly model: string, readonly dispatcher?: Dispatcher }): Promise<LoadOutcome> {
   const start = performance.now()
   const base = { id: arrival.id, at: arrival.at }
--- a/src/load/summarize-load.ts
+++ b/src/load/summarize-load.ts
@@ -4,7 +4,7 @@
 
 const MICROS_PER_MS = 1_000
 
-/** Counts and quantiles of the outcomes of a load run. Time to first token is of streamed answers. */
+/** Summarizes the outcomes of a load run. `firstToken` and `betweenTokens` cover streamed answers only. */
 export function summarizeLoad (outcomes: readonly LoadOutcome[]): LoadSummary {
   const refused: Record<string, number> = {}
   for (const { outcome, cause = 'unknown' } of outcomes) if (outcome === 'refused') refused[cause] = (refused[cause] ?? 0) + 1
--- a/test/http/is-address-gone.test.ts
+++ b/test/http/is-address-gone.test.ts
@@ -10,9 +10,9 @@
   return { server, port: (server.address() as AddressInfo).port }
 }
 
-// A process lives and takes a connection without a word; another has ended, so that its address refuses; a third is just ending: it
-// takes connections and closes them unread, and refuses them a moment later.
-test('a process that takes connections lives, one whose address refuses them has ended', async t => {
+// Three addresses: one accepts connections without sending anything; one refuses them; one, of a process that is exiting, accepts
+// and closes them unread, and refuses them a moment later.
+test('a process that accepts connections is alive, one whose address refuses them has ended', async t => {
   const { server, port } = await open(() => {})
   t.false(await isAddressGone({ host: '127.0.0.1', port }))
   server.close()
--- a/test/http/take-over.test.ts
+++ b/test/http/take-over.test.ts
@@ -11,9 +11,8 @@
   return bytes.toString()
 }
 
-// A daemon starts anew. Callers connect and send while it loads; nothing reads them yet. Once the server is there both those, and one
-// that connects later, are answered on the connections that they opened.
-test('callers that came while the program was loaded are answered', async t => {
+// Callers connect and send while a daemon loads. Once it serves, they are answered on these connections, as is a later caller.
+test('callers that connect while the program loads are answered', async t => {
   const waiting: Socket[] = []
   const early = createServer({ pauseOnConnect: true }, socket => waiting.push(socket))
   early.listen(0, '127.0.0.1')
@@ -27,12 +26,12 @@
   t.regex(await readFirst(first), /^HTTP\/1.1 200[^]*served/)
   second.write(REQUEST)
   t.regex(await readFirst(second), /^HTTP\/1.1 200[^]*served/)
-  const late = connect(port, '127.0.0.1')
-  late.write(REQUEST)
-  t.regex(await readFirst(late), /^HTTP\/1.1 200[^]*served/)
+  const third = connect(port, '127.0.0.1')
+  third.write(REQUEST)
+  t.regex(await readFirst(third), /^HTTP\/1.1 200[^]*served/)
   first.write(REQUEST)
   t.regex(await readFirst(first), /^HTTP\/1.1 200[^]*served/)
-  for (const socket of [first, second, late]) socket.destroy()
+  for (const socket of [first, second, third]) socket.destroy()
   server.close()
   await once(server, 'close')
   const refused = connect(port, '127.0.0.1')
--- a/test/load/plan-arrivals.test.ts
+++ b/test/load/plan-arrivals.test.ts
@@ -14,7 +14,7 @@
   callers: ['a', 'b']
 }
 
-test('the same plan gives the same arrivals, another seed others', t => {
+test('the same plan gives the same arrivals, another seed gives others', t => {
   t.deepEqual(planArrivals(PLAN), planArrivals(PLAN))
   t.notDeepEqual(planArrivals(PLAN), planArrivals({ ...PLAN, seed: 4 }))
 })
--- a/test/store/store-mirror.test.ts
+++ b/test/store/store-mirror.test.ts
@@ -14,9 +14,9 @@
     { revision: 4, changed: [], deleted: ['b'] },
     { revision: 5, changed: [put('c', 5)], deleted: [] }
   ]
-  fc.assert(fc.property(fc.shuffledSubarray([...updates, ...updates], { minLength: 10 }), order => {
+  fc.assert(fc.property(fc.shuffledSubarray([...updates, ...updates], { minLength: 10 }), batches => {
     const mirror = new StoreMirror<number>()
-    for (const batch of order) mirror.merge(batch)
+    for (const batch of batches) mirror.merge(batch)
     return JSON.stringify([...mirror.list()].sort()) === '[["a",3],["c",5]]'
   }))
   t.pass()
