--- a/src/store/circuit.ts
+++ b/src/store/circuit.ts
@@ -6,7 +6,7 @@
   /** Two unanswered calls are enough after this long without an answer. */
   readonly longQuietTime?: number
   readonly firstProbeDelay?: number
-  /** Longest delay between two probes; a daemon notices up to this much later that the platform is back. */
+  /** Longest delay between two probes, and thus until the end of an outage is noticed. */
   readonly maxProbeDelay?: number
 }
 
--- a/test/store/platform-client.test.ts
+++ b/test/store/platform-client.test.ts
@@ -189,11 +189,11 @@
     void (async () => { for (let j = 0; ; j++) await client.put('k', `back-${i}-${j}`, 1, 0) })()
   }
   await clock.advance(30 * SECOND)
-  let taken = 0
+  let accepted = 0
   for (let i = 0; i < 20; i++) {
-    if ((await run(clock, client.put('k', `caller-${i}`, 1, 0, 'caller'))).result.ok) taken++
+    if ((await run(clock, client.put('k', `caller-${i}`, 1, 0, 'caller'))).result.ok) accepted++
     await clock.advance(400)
   }
-  t.log(`${taken} of 20 callers' writes accepted`)
-  t.true(taken >= 18)
+  t.log(`${accepted} of 20 callers' writes accepted`)
+  t.true(accepted >= 18)
 })
