--- a/src/store/platform-client.ts
+++ b/src/store/platform-client.ts
@@ -31,9 +31,9 @@
   readonly random?: Random
   readonly metrics?: Metrics
   /**
-   * First timeout of a caller's write, ms, which doubles with each attempt; twice this for a caller's read. Left out, all
-   * calls have the same timeout. For callers whose deadline is shorter than that timeout, so that a lost reply doesn't use up their time; a store that is
-   * merely slow answers a later attempt. Too short a value resends to a store that is only busy.
+   * First timeout of a caller's write, ms, which doubles with each attempt; a caller's read begins with twice this. Left out,
+   * all calls have the same timeout. For callers with short deadlines, whose time a lost reply would use up otherwise. A
+   * store that is slower than this gets calls again that it would have answered.
    */
   readonly callerTimeout?: number
   /** Longest delay between two probes of a store that doesn't answer, ms. */
