--- a/src/store/store-relay.ts
+++ b/src/store/store-relay.ts
@@ -14,29 +14,28 @@
 import type { ApiCall } from './api-call.js'
 import type { PlatformClient } from './platform-client.js'
 
-/** Peers that are asked for one call, at most. */
-const TRIES = 3
-/** Beyond the time that the peer's own call may take, for the way there and back, ms. */
-const WAY = 50
-/** The line of what goes by way of peers is written at most so often, ms. */
+/** Most peers tried for one call. */
+const MAX_PEERS = 3
+/** Added to the timeout of the peer's own call for the round trip to it, ms. */
+const PEER_ROUND_TRIP = 50
+/** Least interval between log lines on relayed calls, ms. */
 const LOG_PERIOD = 5_000
 
 interface RelayedCall { readonly call: ApiCall, readonly timeout: number }
 
 /**
- * Carries a caller's call to the store by way of another daemon, where the straight way doesn't answer. The store may turn some daemons away,
- * or be cut off from them, while it serves the others. Their callers' jobs were refused for as long as that lasted, at
- * each daemon that their callers were told of; by way of a peer they are accepted.
+ * Sends a caller's call to the store through another daemon where the store doesn't answer this one. The store may refuse
+ * some daemons, or be partitioned from them, while it serves the others; their callers' jobs are still accepted.
  *
- * A write keeps its id, so that sendings over several ways count as one: at most one takes effect, and a conflict with
- * one's own is known for what it is.
+ * A write keeps its id over all paths, so that at most one attempt takes effect and a conflict with an earlier attempt of
+ * the same write is recognized.
  */
 @scoped(Lifecycle.ContainerScoped)
 export class StoreRelay implements Part {
   readonly extensions
   private readonly calls: MemberCalls<RelayedCall, ApiAnswer>
-  /** The peer that reached the store last. */
-  private last: string | undefined
+  /** The last peer that reached the store, which is tried first. */
+  private lastPeer: string | undefined
   private loggedAt = -Infinity
 
   constructor (
@@ -58,37 +57,37 @@
     this.store.useRelay(async (call, timeout) => await this.send(call, timeout))
   }
 
-  /** What a peer was answered; where a peer's call may have taken effect without an answer, that is said; undefined where no peer could ask. */
+  /** Returns the store's answer to a peer; `no answer` where a peer's call may have taken effect; undefined where no peer could send it. */
   private async send (call: ApiCall, timeout: number): Promise<ApiAnswer | undefined> {
-    let unsure: ApiAnswer | undefined
+    let uncertain: ApiAnswer | undefined
     const tried = new Set([this.settings.instance])
-    for (let tries = 0; tries < TRIES; tries++) {
+    for (let tries = 0; tries < MAX_PEERS; tries++) {
       const peer = this.choosePeer(tried)
       if (peer === undefined) break
       tried.add(peer)
-      const answer = await this.calls.call(peer, { call, timeout }, timeout + WAY)
+      const answer = await this.calls.call(peer, { call, timeout }, timeout + PEER_ROUND_TRIP)
       if (answer?.type === 'answered') {
-        this.note(peer, call)
+        this.recordRelay(peer, call)
         return answer
       }
-      if (this.last === peer) this.last = undefined
-      if (answer === undefined || answer.type === 'no answer') unsure = { type: 'no answer', reason: `${peer} had no answer` }
+      if (this.lastPeer === peer) this.lastPeer = undefined
+      if (answer === undefined || answer.type === 'no answer') uncertain = { type: 'no answer', reason: `${peer} had no answer` }
     }
-    return unsure
+    return uncertain
   }
 
   private choosePeer (tried: ReadonlySet<string>): string | undefined {
-    const open = this.members.all().filter(({ state, run, instance }) => state === 'alive' && run > 0 && !tried.has(instance.name)).map(({ instance }) => instance.name)
-    return this.last !== undefined && open.includes(this.last) ? this.last : open[this.random.below(open.length)]
+    const candidates = this.members.all().filter(({ state, run, instance }) => state === 'alive' && run > 0 && !tried.has(instance.name)).map(({ instance }) => instance.name)
+    return this.lastPeer !== undefined && candidates.includes(this.lastPeer) ? this.lastPeer : candidates[this.random.below(candidates.length)]
   }
 
-  private note (peer: string, call: ApiCall): void {
-    this.last = peer
+  private recordRelay (peer: string, call: ApiCall): void {
+    this.lastPeer = peer
     this.metrics.count('platform_calls_relayed_total', { call: call.type })
     const now = this.clock.now()
     if (now < this.loggedAt + LOG_PERIOD) return
     this.loggedAt = now
-    this.log.write('info', 'store', 'reaches the store by way of a peer', { peer, call: call.type })
+    this.log.write('info', 'store', 'reaches the store through a peer', { peer, call: call.type })
   }
 }
 
