--- a/bench/due/due-site.ts
+++ b/bench/due/due-site.ts
@@ -5,7 +5,7 @@
   readonly servers: number
   /** Items a ms that a server gives in what is idle and beside online requests. */
   readonly pace: number
-  readonly near: {
+  readonly urgent: {
     readonly jobs: number
     readonly callers: number
     /** They are submitted within this time. */
--- a/bench/due/run-due.ts
+++ b/bench/due/run-due.ts
@@ -22,7 +22,7 @@
  * Jobs near their due time, beside a backlog of other callers' jobs that would keep the
  * fleet busy for two hours; with `faults` a daemon and a server are killed meanwhile.
  */
-export function runDue ({ daemons, servers, pace, near }: DueSite, { order, seed, faults }: DueRunOptions): DueRun {
+export function runDue ({ daemons, servers, pace, urgent: near }: DueSite, { order, seed, faults }: DueRunOptions): DueRun {
   const random = new Random(seed)
   const perCaller = Math.ceil(pace * servers * LENGTH / BACKLOG_CALLERS)
   const backlog = Array.from({ length: BACKLOG_CALLERS }, (_, i): DueJob => ({ job: `backlog-${i}`, service: 's', caller: `caller-${i}`, created: i, due: i + BACKLOG_WINDOW, items: perCaller, near: false }))
--- a/bench/hunt/check-promises.ts
+++ b/bench/hunt/check-guarantees.ts
@@ -1,4 +1,4 @@
-import { findMixing } from './find-mixing.js'
+import { findRunMismatch } from './find-run-mismatch.js'
 import type { HuntJob } from './hunt-job.js'
 import type { HuntRecord } from './hunt-record.js'
 import type { HuntSend } from './hunt-send.js'
@@ -7,7 +7,7 @@
 const SLACK = 3_000
 
 /** Every promise that the hunt saw broken, a sentence each; none where all held. */
-export function checkPromises (record: HuntRecord): readonly string[] {
+export function checkGuarantees (record: HuntRecord): readonly string[] {
   return [
     ...checkAnswers(record),
     ...checkRuns(record),
@@ -35,7 +35,7 @@
 /** A stream may go on at another server; an answer that isn't streamed is one run's. */
 function checkRuns ({ sends, engineRuns }: HuntRecord): readonly string[] {
   return sends.flatMap(({ id, request, marked }) => {
-    const wrong = marked === undefined ? undefined : findMixing(marked, { id, runs: engineRuns, mayResume: request.startsWith('stream') })
+    const wrong = marked === undefined ? undefined : findRunMismatch(marked, { id, runs: engineRuns, mayResume: request.startsWith('stream') })
     return wrong === undefined ? [] : [`${id} was passed as whole: ${wrong}`]
   })
 }
@@ -80,7 +80,7 @@
   const there = new Set(results.map(({ item }) => item))
   return [
     ...results.flatMap(({ item, marked }) => {
-      const wrong = marked === undefined ? undefined : findMixing(marked, { id: `${ids[0]}.${item}`, runs, mayResume: true })
+      const wrong = marked === undefined ? undefined : findRunMismatch(marked, { id: `${ids[0]}.${item}`, runs, mayResume: true })
       return wrong === undefined ? [] : [`${name}: ${item}: ${wrong}`]
     }),
     ...seen.filter(({ lines }) => lines.length > 1).map(({ item, lines }) => `${name}: ${item}: changed after it was read, ${lines.length} ways`),
--- a/bench/hunt/find-mixing.ts
+++ b/bench/hunt/find-run-mismatch.ts
@@ -15,7 +15,7 @@
  * that ended whole; or, where it may be resumed, one run after the other, each begun from exactly the tokens before its
  * own, the last of them ended whole.
  */
-export function findMixing (answer: string, { id, runs, mayResume }: MixingOptions): string | undefined {
+export function findRunMismatch (answer: string, { id, runs, mayResume }: MixingOptions): string | undefined {
   const words = answer.split(' ')
   const parts = splitRuns(words)
   if (parts.length > 1 && !mayResume) return `it is of ${parts.length} runs: ${parts.map(({ run }) => run).join()}`
--- a/bench/hunt/main.ts
+++ b/bench/hunt/main.ts
@@ -1,5 +1,5 @@
 import { runSeeds } from '../run-seeds.js'
-import { checkPromises } from './check-promises.js'
+import { checkGuarantees } from './check-guarantees.js'
 import { planTroubles } from './plan-troubles.js'
 import { runHunt } from './run-hunt.js'
 
@@ -22,7 +22,7 @@
   run: async seed => {
     const record = await runHunt(seed)
     return {
-      findings: checkPromises(record),
+      findings: checkGuarantees(record),
       kept: { troubles: planTroubles(seed), record },
       summary: `${showTroubles(seed)}; ${showCounts(record)}`
     }
--- a/test/bench/due.test.ts
+++ b/test/bench/due.test.ts
@@ -10,7 +10,7 @@
     for (const faults of [false, true]) {
       for (const seed of [1, 2]) {
         const ours = runDue(site, { order: 'ours', seed, faults })
-        t.is(ours.onTime, site.near.jobs)
+        t.is(ours.onTime, site.urgent.jobs)
         t.true(ours.backlogItems > 0)
         t.is(runDue(site, { order: 'first come', seed, faults }).onTime, 0)
       }
--- a/test/bench/hunt.test.ts
+++ b/test/bench/hunt.test.ts
@@ -1,5 +1,5 @@
 import test from 'ava'
-import { checkPromises } from '../../bench/hunt/check-promises.js'
+import { checkGuarantees } from '../../bench/hunt/check-guarantees.js'
 import type { EngineRun } from '../../bench/hunt/engine-run.js'
 import type { HuntJob } from '../../bench/hunt/hunt-job.js'
 import type { HuntRecord } from '../../bench/hunt/hunt-record.js'
@@ -62,7 +62,7 @@
 
 for (const [what, more, finding] of CASES) {
   test(`a hunt finds ${what}`, t => {
-    const findings = checkPromises(record(more))
+    const findings = checkGuarantees(record(more))
     if (finding === undefined) return t.deepEqual(findings, [])
     t.true(findings.some(text => text.includes(finding)), findings.join('\n'))
   })
--- a/test/stand-ins/engine.test.ts
+++ b/test/stand-ins/engine.test.ts
@@ -3,7 +3,7 @@
 import { tmpdir } from 'node:os'
 import { join } from 'node:path'
 import { request } from 'undici'
-import { findMixing } from '../../bench/hunt/find-mixing.js'
+import { findRunMismatch } from '../../bench/hunt/find-run-mismatch.js'
 import { readRunFiles } from '../../bench/hunt/read-run-files.js'
 import { Engine } from '../../stand-ins/engine/engine.js'
 import type { EngineParameters } from '../../stand-ins/engine/engine-parameters.js'
@@ -76,7 +76,7 @@
   const rest = await text({ resume_from: words })
   const { ids, engineRuns } = readRunFiles([readFileSync(runFile, 'utf8')])
   t.deepEqual(ids, ['r', 'r', 'r'])
-  const find = (answer: string, mayResume = true): string | undefined => findMixing(answer, { id: 'r', runs: engineRuns, mayResume })
+  const find = (answer: string, mayResume = true): string | undefined => findRunMismatch(answer, { id: 'r', runs: engineRuns, mayResume })
   t.is(find(first, false), undefined)
   t.is(find(`${words.join('')} ${rest}`), undefined)
   t.regex(find(`${second.split(' ').slice(0, 5).join(' ')} ${rest}`)!, /other tokens/)
