--- a/bench/hunt/apply-trouble.ts
+++ b/bench/hunt/apply-trouble.ts
@@ -6,13 +6,13 @@
 import type { HuntFleet } from './hunt-fleet.js'
 import type { Trouble } from './trouble.js'
 
-/** ms by which the platform's instance list lags behind a death. */
+/** Time in ms until the platform's instance list no longer has a killed process. */
 const LIST_LAG = 2_000
 const CUT_AFTER_TOKENS = 5
 
 type Node = Fleet['daemons'][number]
 
-/** Brings a trouble about; resolves once it is over. */
+/** Applies a trouble to the fleet; resolves once it is over. */
 export async function applyTrouble (hunt: HuntFleet, trouble: Trouble): Promise<void> {
   const { fleet } = hunt
   switch (trouble.type) {
--- a/bench/hunt/configuration-watch.ts
+++ b/bench/hunt/configuration-watch.ts
@@ -4,7 +4,7 @@
 const POLL_PERIOD = 100
 const REQUEST_TIMEOUT = 1_000
 
-/** Watches which configuration each run of a daemon acts on, and lets operators race for the next one. */
+/** Polls which configuration version each daemon process uses, and makes concurrent updates to it. */
 export class ConfigurationWatch {
   readonly accepted: number[] = []
   private readonly seen = new Map<string, number[]>()
@@ -22,7 +22,7 @@
     clearInterval(this.timer)
   }
 
-  /** Two operators change the same version through two daemons at once; what each is told is noted. */
+  /** Sends two concurrent updates of the same version through two daemons, and records the versions that are accepted. */
   async raceUpdates (round: number): Promise<void> {
     const basedOn = Math.max(0, ...[...this.seen.values()].flat())
     await Promise.all(this.fleet.daemons.slice(0, 2).map(async (daemon, n) => {
@@ -32,7 +32,7 @@
     }))
   }
 
-  /** The version that each of these daemons acts on now; -1 where it doesn't answer. */
+  /** Returns the version that each of these daemons uses now, or -1 where it doesn't answer. */
   async readLast (daemons: Fleet['daemons']): Promise<readonly number[]> {
     return await Promise.all(daemons.map(async daemon => (await this.ask(this.fleet.url(daemon), 'GET', '/operator/configuration'))?.version ?? -1))
   }
--- a/bench/hunt/drop-marks.ts
+++ b/bench/hunt/drop-marks.ts
@@ -1,6 +1,6 @@
 import { splitMark } from '../../stand-ins/engine/split-mark.js'
 
-/** The words of an answer without the marks of the runs that gave them. */
+/** Returns an answer without the run marks that the engine appends to its words. */
 export function dropMarks (answer: string): string {
   return answer.split(' ').map(word => splitMark(word).word).join(' ')
 }
--- a/bench/hunt/engine-run.ts
+++ b/bench/hunt/engine-run.ts
@@ -1,10 +1,10 @@
-/** One run of an engine, as its run file has it. */
+/** One run of an engine, as recorded in its run file. */
 export interface EngineRun {
   /** Id of the request or batch item that it ran. */
   readonly id: string
-  /** Answer tokens given by earlier runs, and their hash. */
+  /** Number of answer tokens of earlier runs that this one resumed after, and their hash. */
   readonly resumed: number
   readonly from: string
-  /** Undefined while it runs, and for ever where its process ended. */
+  /** Undefined while it runs, or if its process ended first. */
   readonly outcome?: 'finished' | 'cancelled'
 }
--- a/bench/hunt/hunt-caller.ts
+++ b/bench/hunt/hunt-caller.ts
@@ -9,7 +9,7 @@
 const MAX_ATTEMPTS = 10
 const MAX_PAUSE = 2_000
 const MIN_PAUSE = 100
-/** How long a caller keeps away from an address that gave no answer, ms, while it knows others. */
+/** Time in ms for which an address that gave no response is avoided while there are others. */
 const AVOID_TIME = 2_000
 const MS_PER_SECOND = 1_000
 const END_OF_STREAM = 'data: [DONE]'
@@ -17,23 +17,23 @@
 type RequestKind = 'whole' | 'stream' | 'plain' | 'booking'
 
 interface HuntCallerOptions {
-  /** Entry addresses as callers keep them, by the daemon's name. */
+  /** Returns the current entry addresses with the names of their daemons. */
   readonly addresses: () => ReadonlyArray<{ readonly daemon: string, readonly url: string }>
-  /** ms after the hunt began. */
+  /** Returns the time in ms since the start of the hunt. */
   readonly now: () => number
-  /** ms after which a caller gives a sending up. */
+  /** Timeout of one attempt, ms. */
   readonly timeout: number
 }
 
-/** Sends online requests as callers do, again where that is allowed, and notes every sending. */
+/** Sends online requests, retries them where that is allowed, and records every attempt. */
 export class HuntCaller {
   readonly sends: HuntSend[] = []
-  /** When each address last gave no answer. */
+  /** When each address last failed to respond. */
   private readonly failedAt = new Map<string, number>()
 
   constructor (private readonly options: HuntCallerOptions) {}
 
-  /** Sends the request until it is answered, it may not be sent again, or its caller has had enough. */
+  /** Sends a request until it is answered, may not be retried, or has used up its attempts; false in the last case. */
   async ask (kind: RequestKind, n: number): Promise<boolean> {
     for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
       const { send, retryAfter } = await this.send(kind, n, attempt)
@@ -92,7 +92,7 @@
   return `Which berth is free on day ${n}?`
 }
 
-/** What is wrong with an answer, and what of it the checks compare. */
+/** Compares an answer with what is expected, and returns the error, if any, with the fields that the checks compare. */
 function checkContent (kind: RequestKind, n: number, text: string): Pick<HuntSend, 'wrong' | 'marked' | 'text'> {
   const got = readContent(kind, text)
   const find = (got: string, expected: string): string | undefined => got === expected ? undefined : text.slice(0, 200)
--- a/bench/hunt/hunt-fleet.ts
+++ b/bench/hunt/hunt-fleet.ts
@@ -6,20 +6,20 @@
 import { huntSize } from './hunt-size.js'
 import { readRunFiles } from './read-run-files.js'
 
-/** Where the n-th of a kind stands, in turn. */
+/** Regions and domains, assigned in turn to the processes of each kind. */
 const ONE_REGION: readonly Place[] = ['a', 'b', 'c'].map(letter => ({ region: 'region-1', domain: `domain-${letter}` }))
 const TWO_REGIONS: readonly Place[] = ['a', 'c', 'b', 'd'].map((letter, n) => ({ region: `region-${n % 2 + 1}`, domain: `domain-${letter}` }))
 const FOLDER = 'demo/folder'
-/** Steps long enough that items and answers are in flight when something happens. */
+/** Steps that are long enough to have items and answers in flight when a trouble begins. */
 const ENGINE = { stepBase: 8, stepPerSequence: 0.3 }
 
 interface Place { readonly region: string, readonly domain: string }
 
-/** A fleet whose servers write down what they run in files, which outlive them. */
+/** A fleet whose servers record their runs in files, which remain when a server is killed. */
 export class HuntFleet {
   private constructor (readonly fleet: Fleet, private readonly folder: string, private readonly places: readonly Place[]) {}
 
-  /** With `canPart` the fleet lies in two regions whose daemons can be parted, else in one. */
+  /** Starts a fleet in one region, or with `canPartition` in two regions whose daemons can be partitioned. */
   static async start (deadline: number, { canPartition = false } = {}): Promise<HuntFleet> {
     const fleet = await Fleet.start({ canPartition })
     const hunt = new HuntFleet(fleet, mkdtempSync(join(tmpdir(), 'citronwheel-hunt-')), canPartition ? TWO_REGIONS : ONE_REGION)
@@ -38,7 +38,7 @@
     await this.fleet.addDaemon(`entry-${n}`, domain, { region, log: { level: 'error', format: 'text' } })
   }
 
-  /** All runs, those of servers that are gone too. */
+  /** Returns the runs of all servers, including those that have ended. */
   listRuns (): { readonly ids: readonly string[], readonly engineRuns: Readonly<Record<string, EngineRun>> } {
     const files = this.fleet.servers.map(({ instance }) => join(this.folder, instance.name)).filter(file => existsSync(file))
     return readRunFiles(files.map(file => readFileSync(file, 'utf8')))
--- a/bench/hunt/hunt-job.ts
+++ b/bench/hunt/hunt-job.ts
@@ -1,19 +1,19 @@
-/** What became of one job. */
+/** The outcome of one job. */
 export interface HuntJob {
   readonly name: string
-  /** Every id given for it; sent again it is the same job. */
+  /** The ids returned by each submission; these must all be equal. */
   readonly ids: readonly string[]
   readonly ended: boolean
   readonly status: string
   readonly items: number
-  /** Items that have a result, with what is wrong with it, or undefined, and the marked words of what completed. */
+  /** Items that have a result, with the error of a wrong result and the answer of a completed item with its run marks. */
   readonly results: ReadonlyArray<{ readonly item: string, readonly wrong?: string, readonly marked?: string }>
-  /** How often its results were read before the last time, and the different lines read, the last time's too. */
+  /** Number of reads of its results before the last, and the different result lines of each item over all reads. */
   readonly reads: number
   readonly seen: ReadonlyArray<{ readonly item: string, readonly lines: readonly string[] }>
   readonly sameBytes: boolean
   /** Items that may run at most once. */
   readonly once: readonly string[]
-  /** Runs of its items that began later than the bound after its cancelling was acknowledged. */
+  /** Runs of its items that began after the bound on its cancellation. */
   readonly lateStarts: number
 }
--- a/bench/hunt/hunt-jobs.ts
+++ b/bench/hunt/hunt-jobs.ts
@@ -8,12 +8,12 @@
 const MODEL = 'berth-assistant'
 const TOKENS = 30
 const POLL_PERIOD = 200
-/** Most times one thing is asked for, at one entry address after the other. */
+/** Attempts of a call, made at the entry addresses in turn. */
 const MAX_ATTEMPTS = 60
-/** ms after the acknowledgement, and after the last trouble, from which no item of a cancelled job may start. */
+/** Time in ms after the acknowledgement and the last trouble from which no item of a cancelled job may start. */
 const CANCEL_BOUND = 6_000
 
-/** A job is cancelled once so many of its items have started; one of which none has started is stopped by doing nothing. */
+/** Items that must have started before a job is cancelled; the cancellation of a job without running items would check nothing. */
 const STARTED_BEFORE_CANCEL = 100
 
 interface JobPlan { readonly name: string, readonly items: number, readonly onceEvery: number }
@@ -24,7 +24,7 @@
   { name: 'called off', items: 400, onceEvery: 0 }
 ]
 
-/** The jobs of a hunt: submitted, sent again elsewhere, one of them cancelled, all of them read twice at the end. */
+/** Submits the jobs of a hunt, submits them again through other daemons, cancels one, and reads the results of all. */
 export class HuntJobs {
   private readonly ids = new Map<string, string[]>()
   private readonly seen = new Map(PLANS.map(({ name }) => [name, new ObservedResults()]))
@@ -33,17 +33,17 @@
 
   constructor (private readonly hunt: HuntFleet, private readonly urls: () => readonly string[], private readonly now: () => number) {}
 
-  /** Submits every job, through different daemons, until each is accepted. */
+  /** Submits each job through a different daemon, and retries until it is accepted. */
   async submitAll (): Promise<void> {
     await Promise.all(PLANS.map(async (plan, n) => await this.submit(plan, n)))
   }
 
-  /** Sends every job again under its key, as a client does that never heard the answer. */
+  /** Submits every job again under the same key, as a client does that got no response. */
   async resubmitAll (): Promise<void> {
     await Promise.all(PLANS.map(async (plan, n) => await this.submit(plan, n + 1)))
   }
 
-  /** Asks for the last job to be cancelled until that is acknowledged; as soon as it is well under way, at `latest` at any rate. */
+  /** Cancels the last job once enough of its items have started, or at `latest`, and retries until that is acknowledged. */
   async cancel (latest: number): Promise<void> {
     while (this.countStarts() < STARTED_BEFORE_CANCEL && this.now() < latest) await pause()
     const [id] = this.ids.get(PLANS.at(-1)!.name) ?? []
@@ -51,7 +51,7 @@
     if (status) this.cancelledAt = this.now()
   }
 
-  /** Reads the results of every job over and over, as one that can't wait for its end, until it has ended. */
+  /** Reads the results of every job repeatedly until it has ended. */
   async watchResults (): Promise<void> {
     await Promise.all(PLANS.map(async ({ name }, turn) => {
       for (let n = turn; !this.ended.has(name); n++) {
@@ -65,7 +65,7 @@
     }))
   }
 
-  /** Waits for every job to end, and reads what became of it. `over` is when the last trouble had ended. */
+  /** Waits for every job to end and returns its outcome. */
   async readAll (troublesEndedAt: number, limit: number): Promise<readonly HuntJob[]> {
     const checkFrom = Math.max(troublesEndedAt, this.cancelledAt ?? 0) + CANCEL_BOUND
     while (this.now() < checkFrom) await pause()
@@ -127,13 +127,13 @@
     return lines
   }
 
-  /** The results so far, by the daemon whose turn it is; undefined where it doesn't answer. */
+  /** Returns the results so far from the daemon whose turn it is, or undefined if it doesn't answer. */
   private async readOnce (id: string, turn: number): Promise<readonly any[] | undefined> {
     const urls = this.urls()
     return await readLines(new CallerClient(urls[turn % urls.length]!, 'night-desk-token'), id).catch(() => undefined)
   }
 
-  /** Asks one entry address after the other until one does it; says whether any did. */
+  /** Calls one entry address after the other until a call returns true. Returns whether one did. */
   private async ask (what: (client: CallerClient) => Promise<boolean>, turn = 0): Promise<boolean> {
     for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
       const urls = this.urls()
@@ -159,16 +159,16 @@
   }))
 }
 
-/** Only what may run once may end as unknown, and only a job that was cancelled has cancelled items. */
+/** Returns the error codes that an item may have: `unknown` only if it may run once, `cancelled` only in a cancelled job. */
 function listAllowedErrors (once: boolean, status: string): readonly string[] {
   return [...once ? ['unknown'] : [], ...status === 'cancelled' ? ['cancelled'] : []]
 }
 
-/** What is wrong with a result; `allowed` are the causes by which this item may rightly have failed. */
+/** Returns the error of a wrong result, or undefined; `allowed` are the error codes with which this item may fail. */
 function findResultError ({ custom_id: item, response, error }: any, allowed: readonly string[]): string | undefined {
   if (error !== null) return allowed.includes(error.code) ? undefined : `${error.code}: ${error.message}`
   const content = dropMarks(response.body.choices[0].message.content)
-  return content === createAnswerWords(`Draft of ${item}`, TOKENS).join(' ') ? undefined : `another's or a cut answer: ${content}`
+  return content === createAnswerWords(`Draft of ${item}`, TOKENS).join(' ') ? undefined : `wrong or truncated answer: ${content}`
 }
 
 function readContent ({ response, error }: any): string | undefined {
--- a/bench/hunt/hunt-send.ts
+++ b/bench/hunt/hunt-send.ts
@@ -1,7 +1,7 @@
-/** One sending of an online request, and what came back. Times in ms after the hunt began. */
+/** One attempt of an online request and its response. Times in ms since the start of the hunt. */
 export interface HuntSend {
   readonly id: string
-  /** The request that it is a sending of; for a booking also its key. */
+  /** The request that it is an attempt of; for a booking also its idempotency key. */
   readonly request: string
   readonly daemon: string
   readonly at: number
@@ -9,10 +9,10 @@
   readonly outcome: 'answered' | 'refused' | 'cut' | 'no answer'
   readonly status?: number
   readonly ran?: 'not run' | 'unknown' | 'ran'
-  /** What is wrong with an answer that was passed as whole. */
+  /** The error of an answer that was delivered as complete. */
   readonly wrong?: string
-  /** The words of a model's answer with the marks of the runs that gave them. */
+  /** A model's answer with its run marks. */
   readonly marked?: string
-  /** The answer of a booking, to be compared with later answers of its key. */
+  /** The answer of a booking, compared with other answers under the same key. */
   readonly text?: string
 }
--- a/bench/hunt/main.ts
+++ b/bench/hunt/main.ts
@@ -4,8 +4,8 @@
 import { runHunt } from './run-hunt.js'
 
 const USAGE = `npm run hunt -- [--seed N] [--count N]
-  brings random troubles, two to four at a time, on a fleet under load, and checks every promise against the servers'
-  own logs; exit 1 when one is broken. What was seen is kept in bench/out/hunt-SEED.json`
+  applies two to four random faults to a fleet under load and checks every guarantee against the servers' own logs;
+  exits with 1 when one is violated. Writes the record to bench/out/hunt-SEED.json`
 
 function showTroubles (seed: number): string {
   return planTroubles(seed).map(({ at, type, ...more }) => `${type} ${JSON.stringify(more)} at ${at} ms`).join(', ')
@@ -13,7 +13,7 @@
 
 function showCounts ({ sends, runs, jobs }: Awaited<ReturnType<typeof runHunt>>): string {
   const counts = ['answered', 'refused', 'cut', 'no answer'].map(outcome => `${sends.filter(send => send.outcome === outcome).length} ${outcome}`)
-  return `${sends.length} sends (${counts.join(', ')}), ${runs.length} runs, ${jobs.map(({ reads }) => reads).join(' + ')} readings of results`
+  return `${sends.length} sends (${counts.join(', ')}), ${runs.length} runs, ${jobs.map(({ reads }) => reads).join(' + ')} reads of results`
 }
 
 runSeeds({
--- a/bench/hunt/observed-results.ts
+++ b/bench/hunt/observed-results.ts
@@ -1,6 +1,6 @@
-/** Result lines of one job as readers got them while it ran: of each item the different lines, in the order seen. */
+/** Holds the different result lines of each item of a job, in the order in which they were read. */
 export class ObservedResults {
-  /** Readings that were answered, before the last one of the hunt. */
+  /** Number of successful reads before the last one of the hunt. */
   reads = 0
   private readonly lines = new Map<string, string[]>()
 
--- a/bench/hunt/plan-troubles.ts
+++ b/bench/hunt/plan-troubles.ts
@@ -8,19 +8,19 @@
   'daemon killed', 'daemon replaced', 'daemon frozen', 'daemon drained', 'engine killed', 'engine frozen', 'engine cuts answers',
   'open connections silent', 'service silent', 'service cuts answers', 'platform', 'platform'
 ]
-/** From this seed on regions may be parted too; the seeds below keep the troubles that they had before. */
+/** From this seed on regions may be partitioned too; lower seeds plan the same troubles as before partitions were added. */
 const FIRST_PARTITION_SEED = 100
-/** By which a parting outlasts other troubles, ms: the daemons of the other region are held for dead after 3.5 s. */
+/** Time in ms added to a partition, so that it lasts beyond the 3.5 s after which daemons count as dead. */
 const PARTITION_EXTRA = 4_000
 const TYPES_WITH_PARTITION: typeof TYPES = [...TYPES, 'regions parted', 'regions parted', 'regions parted']
 const PLATFORM_FAULTS: readonly PlatformFaults[] = [
   { outage: 'refused' }, { outage: 'reset' }, { outage: 'silent' }, { slowness: 300 }, { lostReplies: 0.3 },
   { delayedWrites: { share: 0.3, delay: 1_500 } }, { oldReads: { share: 0.5, lag: 1_500 } }, { silentWatches: true }, { instanceLag: 5_000 }
 ]
-/** Daemons and engines that are lost for good in one hunt, at most: half of them are left. */
+/** Limit on the daemons, and on the engines, that troubles of one hunt affect; half of each remain unaffected. */
 const MAX_LOST = { daemon: 2, engine: 2 }
 
-/** What goes wrong in the hunt of a seed, by time. The same seed always gives the same troubles. */
+/** Returns the troubles of a seed in order of time. The same seed always gives the same troubles. */
 export function planTroubles (seed: number): readonly Trouble[] {
   const random = new Random(seed)
   const count = 2 + random.below(huntSize.maxTroubles - 1)
@@ -53,7 +53,7 @@
   }
 }
 
-/** One trouble a process, one at the platform and one between the regions, and half of each kind stays. */
+/** Whether a trouble can join the plan: one per process, one of the platform, one partition, and half of the daemons and of the engines unaffected. */
 function isAllowed (trouble: Trouble, planned: readonly Trouble[]): boolean {
   const isConflicting = (other: Trouble): boolean =>
     ('daemon' in trouble && 'daemon' in other && trouble.daemon === other.daemon) ||
--- a/bench/hunt/read-run-files.ts
+++ b/bench/hunt/read-run-files.ts
@@ -1,7 +1,7 @@
 import type { RunLine } from '../../stand-ins/engine/run-line.js'
 import type { EngineRun } from './engine-run.js'
 
-/** Ids of all runs, a run each, and the engines' runs by their mark, from the texts of run files. */
+/** Parses the texts of run files into the ids of all runs, one entry per run, and the engines' runs by their mark. */
 export function readRunFiles (texts: readonly string[]): { readonly ids: readonly string[], readonly engineRuns: Readonly<Record<string, EngineRun>> } {
   const ids: string[] = []
   const engineRuns: Record<string, EngineRun> = {}
--- a/bench/hunt/run-hunt.ts
+++ b/bench/hunt/run-hunt.ts
@@ -20,7 +20,7 @@
 const RECOVERY_TIME = 6_000
 const KINDS = ['stream', 'booking', 'whole', 'plain'] as const
 
-/** Brings the troubles of a seed on a fleet under online and batch load; gives back all that was seen. */
+/** Applies the troubles of a seed to a fleet under online and batch load, and returns the record for the checks. */
 export async function runHunt (seed: number): Promise<HuntRecord> {
   const troubles = planTroubles(seed)
   const hunt = await HuntFleet.start(DEADLINE, { canPartition: troubles.some(({ type }) => type === 'regions parted') })
@@ -76,13 +76,13 @@
   }
 }
 
-/** A request of each kind in turn, at a steady pace, until the end. */
+/** Sends requests of each kind in turn at a constant rate until `end`, and waits for all of them. */
 async function ask (caller: HuntCaller, now: () => number, end: number): Promise<void> {
   const asked: Promise<boolean>[] = []
   for (let n = 0; now() < end; n++) {
     const kind = KINDS[n % KINDS.length]!
     asked.push(caller.ask(kind, n))
-    // A booking is sent twice at once, as by a guest who presses the button again.
+    // Each booking is sent twice concurrently with the same idempotency key.
     if (kind === 'booking') asked.push(caller.ask(kind, n))
     await new Promise(resolve => setTimeout(resolve, REQUEST_PERIOD))
   }
@@ -94,7 +94,7 @@
   return KINDS.filter((_, n) => !answered[n]).map(kind => `a ${kind} request was not answered`)
 }
 
-/** The daemons that should be up at the end; of one that was replaced, its successor. */
+/** Returns the daemons that should be running at the end; for a replaced daemon, its successor. */
 function listRemainingDaemons ({ fleet }: HuntFleet, troubles: readonly Trouble[]): HuntFleet['fleet']['daemons'] {
   const stopped = troubles.filter(({ type }) => type === 'daemon killed' || type === 'daemon drained').map(trouble => 'daemon' in trouble ? `entry-${trouble.daemon}` : '')
   return fleet.daemons.filter((daemon, n) => !stopped.includes(daemon.instance.name) && !fleet.daemons.slice(n + 1).some(({ instance }) => instance.name === daemon.instance.name))
--- a/bench/hunt/trouble.ts
+++ b/bench/hunt/trouble.ts
@@ -1,6 +1,6 @@
 import type { PlatformFaults } from '../../stand-ins/platform/platform-faults.js'
 
-/** One thing that goes wrong in a hunt: `at` ms after the load has begun, for `lasting` ms where it ends again. */
+/** A fault in a hunt: begins `at` ms after the load and, if it is temporary, lasts `lasting` ms. */
 export type Trouble = { readonly at: number } & (
   | { readonly type: 'daemon killed', readonly daemon: number }
   | { readonly type: 'daemon replaced', readonly daemon: number }
--- a/bench/soak/apply-trouble.ts
+++ b/bench/soak/apply-trouble.ts
@@ -3,13 +3,13 @@
 import type { StoreTrouble } from './store-trouble.js'
 import type { Trouble } from './trouble.js'
 
-/** After a trouble, how long a daemon isn't held to its bounds, ms: the users' time to be in touch again. */
+/** Time in ms after a trouble in which a daemon may still be reconnecting and its bounds don't apply. */
 const RECONNECT_TIME = 3_000
 const RESTART_PAUSE = 150
 const SLOW_DELAY = 60
 const OPEN_MODE = { type: 'open' } as const
 
-/** Brings one trouble on the fleet, and ends it. */
+/** Applies one trouble to the fleet; resolves once it is over. */
 export async function applyTrouble (soak: SoakFleet, trouble: Trouble): Promise<void> {
   const { fleet } = soak
   const from = soak.now()
--- a/bench/soak/check-record.ts
+++ b/bench/soak/check-record.ts
@@ -6,7 +6,7 @@
 
 const IMPOSSIBLE = '/impossible'
 
-/** Promises that what was seen breaks, a sentence each. */
+/** Returns one sentence for each guarantee that the record violates. */
 export function checkRecord (record: SoakRecord): readonly string[] {
   const runs = indexRuns(record)
   return [
@@ -35,25 +35,25 @@
   const findings: string[] = []
   const addFinding = (what: string): void => { findings.push(`${id} ${path} at daemon ${daemon}, ${at} to ${until} ms: ${what}`) }
   const whole = Array.from({ length: soakSize.events }, (_, i) => `id: ${i + 1}\ndata: ${EventEngine.buildEventData(path, i + 1)}\n\n`).join('')
-  if (outcome === 'whole' && text !== whole) addFinding('ended as whole with other events than its server has')
-  if ((outcome === 'whole' || outcome === 'cut') && !whole.startsWith(text.slice(0, text.lastIndexOf('\n\n') + 1))) addFinding('events are missing, twice or out of order')
-  if (outcome === 'whole' && !runs.some(({ engine }) => stamp === `stamp-${engine}`)) addFinding(`bears ${String(stamp)}, and no such server ran it`)
+  if (outcome === 'whole' && text !== whole) addFinding('completed with other events than its server sends')
+  if ((outcome === 'whole' || outcome === 'cut') && !whole.startsWith(text.slice(0, text.lastIndexOf('\n\n') + 1))) addFinding('events are missing, repeated or out of order')
+  if (outcome === 'whole' && !runs.some(({ engine }) => stamp === `stamp-${engine}`)) addFinding(`has stamp ${String(stamp)}, but no such server ran it`)
   if (outcome === 'refused' && runs.length > 0) addFinding(`was answered ${status}, and ran at ${runs.map(({ engine }) => engine).join()}`)
   if (!resumable && runs.length > 1) addFinding(`may run once, and ran at ${runs.map(run => `${run.engine} (${run.at} ms)`).join()}`)
   return [...findings, ...checkRoute(request, runs, record), ...checkCutAnswer(request, runs, record)]
 }
 
-/** A daemon in touch goes by the newest configuration after its bound, and by none that never was. */
+/** Checks that a connected daemon routes by a configuration that was in force when the request was in flight, allowing for the time to apply it. */
 function checkRoute ({ id, path, outcome, daemon, at, until }: SentRequest, runs: Runs, record: SoakRecord): readonly string[] {
   if (isDisturbed(record, daemon, at - soakSize.configurationBound, until)) return []
   const inForce = record.versions.filter((version, i) => version.at <= until && (record.versions[i + 1]?.at ?? Infinity) + soakSize.configurationBound + soakSize.slack >= at)
   const isExtra = path.startsWith('/extra/')
   if (outcome === 'no route' && !(isExtra && inForce.some(({ hasExtra }) => !hasExtra))) return [`${id} ${path} at daemon ${daemon}, ${at} ms: found no route that every configuration in force has`]
-  if (isExtra && runs.length > 0 && !inForce.some(({ hasExtra }) => hasExtra)) return [`${id} ${path} at daemon ${daemon}, ${at} ms: ran on a route that is gone`]
+  if (isExtra && runs.length > 0 && !inForce.some(({ hasExtra }) => hasExtra)) return [`${id} ${path} at daemon ${daemon}, ${at} ms: ran on a removed route`]
   return []
 }
 
-/** A daemon that is told to end cuts nothing of what it has taken and passed on, while nothing else is wrong. */
+/** Checks that an answer was cut only where its server failed, or where its daemon or the store was disturbed. */
 function checkCutAnswer ({ id, path, outcome, text, daemon, at, until }: SentRequest, runs: Runs, record: SoakRecord): readonly string[] {
   if (outcome !== 'cut' || runs.length === 0) return []
   const disturbances = record.harmed.filter(harm => harm.daemon === daemon && harm.from <= until && harm.to >= at)
@@ -77,31 +77,31 @@
       if (JSON.stringify(result) !== JSON.stringify(longest.results[i])) findings.push(`${id}: position ${i} was ${result.id} at ${read.at} ms and ${String(longest.results[i]?.id)} at ${longest.at} ms`)
     }
   }
-  if (new Set(longest.results.map(result => result.id)).size !== longest.results.length) findings.push(`${id}: an item stands at two positions`)
+  if (new Set(longest.results.map(result => result.id)).size !== longest.results.length) findings.push(`${id}: an item is at two positions`)
   for (const { id: item, state, text } of longest.results) {
     const whole = Array.from({ length: soakSize.events }, (_, i) => EventEngine.buildEventData(`/drafts/${item}`, i + 1)).join('\n')
-    if (!items.includes(item)) findings.push(`${id}: ${item} isn't its item`)
-    if (state === 'completed' && text !== whole) findings.push(`${id}: ${item} isn't whole`)
-    if (state === 'failed' && !item.endsWith(IMPOSSIBLE) && endedAt === undefined) findings.push(`${id}: ${item} was given up`)
+    if (!items.includes(item)) findings.push(`${id}: ${item} is not one of its items`)
+    if (state === 'completed' && text !== whole) findings.push(`${id}: ${item} is incomplete or altered`)
+    if (state === 'failed' && !item.endsWith(IMPOSSIBLE) && endedAt === undefined) findings.push(`${id}: ${item} failed, though it can be completed`)
   }
-  if (endedAt === undefined && longest.results.length < items.length) findings.push(`${id}: ${items.length - longest.results.length} items were never done`)
+  if (endedAt === undefined && longest.results.length < items.length) findings.push(`${id}: ${items.length - longest.results.length} items never got a result`)
   if (endedAt !== undefined && !isDisturbed(record, undefined, endedAt, endedAt + soakSize.cancelBound)) {
     const late = ran.filter(run => run.at > endedAt + soakSize.cancelBound + soakSize.slack)
-    if (late.length > 0 && record.harmed.length === 0) findings.push(`${id}: ${late[0]!.id} began ${late[0]!.at - endedAt} ms after its job's end was confirmed`)
+    if (late.length > 0 && record.harmed.length === 0) findings.push(`${id}: ${late[0]!.id} began ${late[0]!.at - endedAt} ms after the cancellation of its job was confirmed`)
   }
   return findings
 }
 
 function checkUnknownRuns ({ runs, requests, jobs }: SoakRecord): readonly string[] {
   const asked = new Set([...requests.map(({ id }) => id), ...jobs.flatMap(({ items }) => items)])
-  return runs.filter(({ id }) => !asked.has(id)).map(({ id, engine }) => `${engine} ran ${id}, which nobody sent`)
+  return runs.filter(({ id }) => !asked.has(id)).map(({ id, engine }) => `${engine} ran ${id}, which no caller sent`)
 }
 
-/** Held to it are requests that a daemon in touch took after the bound, while the store is well. */
+/** Checks that connected daemons send a draining server no requests after the bound; job items are checked only where nothing was disturbed. */
 function checkDraining (record: SoakRecord): readonly string[] {
   const byId = new Map(record.requests.map(request => [request.id, request]))
   return record.leaving.flatMap(({ engine, at }) => record.runs
     .filter(run => run.engine === engine && run.at > at + soakSize.drainBound + soakSize.slack)
     .filter(run => !isDisturbed(record, byId.get(run.id)?.daemon, at, run.at) && (byId.has(run.id) || record.harmed.length === 0))
-    .map(run => `${engine} got ${run.id} ${run.at - at} ms after it said that it leaves`))
+    .map(run => `${engine} got ${run.id} ${run.at - at} ms after it began to drain`))
 }
--- a/bench/soak/disturbance.ts
+++ b/bench/soak/disturbance.ts
@@ -1,2 +1,2 @@
-/** A span, ms, in which a daemon can't be held to its bounds; any daemon where none is named. */
+/** A time span in ms in which the bounds don't apply to a daemon, or to any daemon where `daemon` is undefined. */
 export interface Disturbance { readonly daemon: number | undefined, readonly from: number, readonly to: number }
--- a/bench/soak/main.ts
+++ b/bench/soak/main.ts
@@ -5,9 +5,9 @@
 import type { SoakRecord } from './soak-record.js'
 
 const USAGE = `npm run soak -- [--seed N] [--count N]
-  runs the daemons of the users' machines as processes on loopback, brings troubles on them, their store, their servers and
-  the ways between, and checks what callers and servers see; exit 1 when a promise is broken. What was seen is kept in
-  bench/out/soak-SEED.json, and the daemons' logs of a seed that broke one in bench/out/soak-SEED.log`
+  runs a fleet of daemons as processes on loopback, applies random faults to them, to their store and servers and to the
+  connections between them, and checks what callers and servers observe; exits with 1 when a guarantee is violated.
+  Writes the record to bench/out/soak-SEED.json, and for a violation the daemons' logs to bench/out/soak-SEED.log`
 
 function showCounts ({ requests, runs, jobs }: SoakRecord): string {
   const outcomes = ['whole', 'refused', 'failed', 'cut', 'no route', 'no connection'] as const
--- a/bench/soak/observed-run.ts
+++ b/bench/soak/observed-run.ts
@@ -1,2 +1,2 @@
-/** One run at an engine, as the engine saw it. */
+/** One run of a request, as its engine recorded it. */
 export interface ObservedRun { readonly id: string, readonly path: string, readonly engine: string, readonly at: number, readonly resumedAfter: number | undefined, readonly events: number }
--- a/bench/soak/plan-troubles.ts
+++ b/bench/soak/plan-troubles.ts
@@ -15,7 +15,7 @@
 const MIN_DURATION = 300
 const MAX_BREAKS = 5
 
-/** What goes wrong in the soak of a seed, by time; several may overlap. The same seed always gives the same troubles. */
+/** Returns the troubles of a seed in order of time; they may overlap. The same seed always gives the same troubles. */
 export function planTroubles (seed: number): readonly Trouble[] {
   const random = new Random(seed)
   const count = 2 + random.below(soakSize.maxTroubles - 1)
@@ -47,7 +47,7 @@
   }
 }
 
-/** Processes end and start in series, but not one of them twice at once; the store has one trouble at a time, and half of the engines stay. */
+/** Whether a trouble can join the plan: one for the store, one of a type per engine and relay, one kill, end or pause per daemon, and half of the engines remain. */
 function isAllowed (trouble: Trouble, planned: readonly Trouble[]): boolean {
   const endsProcess = (other: Trouble): boolean => other.type === 'daemon killed' || other.type === 'daemon ended' || other.type === 'daemon paused'
   const isConflicting = (other: Trouble): boolean =>
--- a/bench/soak/run-soak.ts
+++ b/bench/soak/run-soak.ts
@@ -7,10 +7,10 @@
 import type { SoakRecord } from './soak-record.js'
 import { soakSize } from './soak-size.js'
 
-/** What a soak saw, and what its daemons wrote to their logs. */
+/** The record of a soak and the log lines of its daemons. */
 interface SoakRun { readonly record: SoakRecord, readonly lines: readonly string[] }
 
-/** Brings the troubles of a seed on a fleet of processes under load. */
+/** Applies the troubles of a seed to a fleet of processes under load. */
 export async function runSoak (seed: number): Promise<SoakRun> {
   const soak = new SoakFleet(countDaemons(seed))
   const callers = new SoakCallers(soak)
--- a/bench/soak/sent-job.ts
+++ b/bench/soak/sent-job.ts
@@ -1,13 +1,13 @@
 import type { JobReading } from './job-reading.js'
 
-/** A job as its caller saw it. Times in ms. */
+/** A job and the responses that its caller got. Times in ms. */
 export interface SentJob {
   readonly id: string
   readonly items: readonly string[]
-  /** Answers to its submissions; 202 once it is accepted, 0 where none came. */
+  /** Statuses of its submissions in order: 202 where it was accepted, 0 where no response came. */
   readonly statuses: number[]
   acceptedAt: number | undefined
-  /** When its end was confirmed. */
+  /** When its cancellation was confirmed. */
   endedAt: number | undefined
   readonly reads: JobReading[]
 }
--- a/bench/soak/sent-request.ts
+++ b/bench/soak/sent-request.ts
@@ -1,4 +1,4 @@
-/** A caller's request and what it saw of its answer. Times in ms. */
+/** A request and the response that its caller got. Times in ms. */
 export interface SentRequest {
   readonly id: string
   readonly daemon: number
--- a/bench/soak/soak-callers.ts
+++ b/bench/soak/soak-callers.ts
@@ -6,10 +6,10 @@
 
 const KINDS = ['quotes', 'berths', 'quotes', 'extra'] as const
 const NOT_FOUND = 404
-/** Statuses that promise that the request has not run. */
+/** Statuses that guarantee that the request has not run. */
 const NOT_RUN = [429, 503, 408, 421]
 
-/** Callers that keep their connections open, use each daemon in turn and go on doing so until it is gone. */
+/** Sends online requests to the daemons in turn over persistent connections, and records the responses. */
 export class SoakCallers {
   readonly requests: SentRequest[] = []
   private readonly agents: readonly Agent[]
@@ -18,7 +18,7 @@
     this.agents = Array.from({ length: soak.daemons }, () => new Agent({ connections: 16, keepAliveTimeout: 15_000, keepAliveMaxTimeout: 15_000 }))
   }
 
-  /** Asks at a steady pace until `end`, and waits for the last answer. */
+  /** Sends requests at a constant rate until `end`, and waits for all responses. */
   async sendAll (end: number): Promise<void> {
     const asked: Array<Promise<void>> = []
     for (let n = 0; this.soak.now() < end; n++) {
--- a/bench/soak/soak-fleet.ts
+++ b/bench/soak/soak-fleet.ts
@@ -7,16 +7,16 @@
 import type { SentVersion } from './sent-version.js'
 import { soakSize } from './soak-size.js'
 
-/** Number of the first loopback network of relays; Linux routes all of 127.0.0.0/8 to the machine itself. */
+/** Second octet of the first loopback network of the relays; Linux routes all of 127.0.0.0/8 to the machine itself. */
 const FIRST_NETWORK = 40
 
-/** A fleet whose ways to store, engines and callers all lead over relays, and what was done to it. */
+/** A fleet whose connections to the store, engines and callers all pass through relays, with a record of what was done to it. */
 export class SoakFleet {
   readonly fleet: MachinesFleet
   readonly storeRelays = new Map<number, RelayedPort>()
   readonly engineRelays = new Map<string, RelayedPort>()
   readonly callerRelays: RelayedPort[] = []
-  /** Engines that have ended: a server that starts again is another one, under the same id. */
+  /** Stopped engines, whose runs are still checked; a restarted engine is a new object with the same id. */
   readonly stoppedEngines: EventEngine[] = []
   readonly harmed: Disturbance[] = []
   readonly versions: SentVersion[] = []
@@ -33,7 +33,7 @@
     })
   }
 
-  /** ms since the begin. */
+  /** Returns the time in ms since this object was created. */
   now (): number {
     return Math.round(performance.now() - this.startedAt)
   }
@@ -51,7 +51,7 @@
       this.callerRelays.push(relay)
       this.watchDaemon(i)
     }
-    await fleet.waitUntil('all daemons know one another', async () => (await Promise.all(fleet.daemons.map(async daemon => await fleet.listAddresses(daemon)))).every(({ length }) => length === this.daemons))
+    await fleet.waitUntil('every daemon lists all daemons', async () => (await Promise.all(fleet.daemons.map(async daemon => await fleet.listAddresses(daemon)))).every(({ length }) => length === this.daemons))
   }
 
   async stop (): Promise<void> {
@@ -60,7 +60,7 @@
     for (const relay of [...this.storeRelays.values(), ...this.engineRelays.values(), ...this.callerRelays]) relay.close()
   }
 
-  /** Notes that a daemon, or each where none is named, can't be held to its bounds in this time. */
+  /** Records a time span in which the bounds don't apply to a daemon, or to any daemon where it is undefined. */
   recordDisturbance (daemon: number | undefined, from: number, to: number): void {
     this.harmed.push({ daemon, from, to })
   }
@@ -72,7 +72,7 @@
     this.versions.push({ version, at: this.now(), hasExtra })
   }
 
-  /** Kills or ends a daemon; it is started again once it has gone and `pause` ms have passed. */
+  /** Signals a daemon, waits for it to exit, and starts it again `pause` ms later. */
   async restartDaemon (daemon: number, signal: 'SIGKILL' | 'SIGTERM', pause: number): Promise<void> {
     const known = this.fleet.daemons[daemon]!
     this.expectedExits.add(daemon)
@@ -109,7 +109,7 @@
     const { child } = this.fleet.daemons[daemon]!
     child!.onLine(line => this.lines.push(line))
     void child!.waitForExit().then(code => {
-      if (!this.expectedExits.has(daemon)) this.exits.push(`daemon ${daemon} ended by itself with ${code} at ${this.now()} ms: ${child!.errors.slice(-500)}`)
+      if (!this.expectedExits.has(daemon)) this.exits.push(`daemon ${daemon} exited unexpectedly with ${code} at ${this.now()} ms: ${child!.errors.slice(-500)}`)
     })
   }
 
@@ -120,7 +120,7 @@
     return relay
   }
 
-  /** An address of its own for each way and each process that runs soaks. */
+  /** Returns an address that is unique to the relay's network and to this process, so that several soaks can run at once. */
   private chooseHost (network: number): string {
     return `127.${FIRST_NETWORK + network}.${process.pid >> 8 & 0xff}.${process.pid & 0xff || 1}`
   }
--- a/bench/soak/soak-jobs.ts
+++ b/bench/soak/soak-jobs.ts
@@ -7,18 +7,18 @@
 const MAX_ATTEMPTS = 4
 const ATTEMPT_TIMEOUT = 4_000
 const READ_PERIOD = 500
-/** Every so many jobs one is ended by its caller, and one holds an item that can't be done. */
+/** Every n-th job is cancelled by its caller, and every n-th has an item that always fails. */
 const CANCEL_EVERY = 4
 const IMPOSSIBLE_EVERY = 3
 
-/** Callers of jobs: submit each at daemons in turn until it is accepted, read it at any, end some. */
+/** Submits jobs to the daemons in turn until each is accepted, reads their results and cancels some of them. */
 export class SoakJobs {
   readonly jobs: SentJob[] = []
   private turn = 0
 
   constructor (private readonly soak: SoakFleet) {}
 
-  /** Brings jobs until `end`; resolves once each has had its tries. */
+  /** Submits jobs until `end`; resolves once each is accepted or its attempts are used up. */
   async submitAll (end: number): Promise<void> {
     const submitted: Array<Promise<void>> = []
     for (let n = 0; this.soak.now() < end; n++) {
@@ -28,7 +28,7 @@
     await Promise.all(submitted)
   }
 
-  /** Reads all accepted jobs, over and over, until each that wasn't ended is done or `end` has come. */
+  /** Reads all accepted jobs repeatedly until each that wasn't cancelled is complete, or until `end`. */
   async readAll (end: number): Promise<void> {
     while (this.soak.now() < end) {
       await Promise.all(this.jobs.filter(({ acceptedAt }) => acceptedAt !== undefined).map(async job => await this.read(job)))
@@ -37,7 +37,7 @@
     }
   }
 
-  /** One reading of every accepted job at every daemon. */
+  /** Reads every accepted job once at every daemon. */
   async readEverywhere (): Promise<void> {
     for (const job of this.jobs.filter(({ acceptedAt }) => acceptedAt !== undefined)) {
       for (let daemon = 0; daemon < this.soak.daemons; daemon++) await this.read(job, daemon)
--- a/bench/soak/soak-record.ts
+++ b/bench/soak/soak-record.ts
@@ -4,16 +4,16 @@
 import type { SentRequest } from './sent-request.js'
 import type { SentVersion } from './sent-version.js'
 
-/** All that was seen from outside in one soak. Times in ms since its begin. */
+/** What callers, engines and the harness observed in one soak. Times in ms since its start. */
 export interface SoakRecord {
   readonly requests: readonly SentRequest[]
   readonly runs: readonly ObservedRun[]
   readonly jobs: readonly SentJob[]
-  /** Configurations as they were confirmed. */
+  /** Configurations in the order in which the store confirmed them. */
   readonly versions: readonly SentVersion[]
-  /** Engines that said that they leave. */
+  /** Engines that were registered as draining. */
   readonly leaving: ReadonlyArray<{ readonly engine: string, readonly at: number }>
   readonly harmed: readonly Disturbance[]
-  /** Daemons that ended by themselves, and what they wrote. */
+  /** Unexpected exits of daemons, each with the end of its error output. */
   readonly exits: readonly string[]
 }
--- a/bench/soak/soak-size.ts
+++ b/bench/soak/soak-size.ts
@@ -2,23 +2,23 @@
 export const soakSize = {
   engines: 4,
   slots: 6,
-  /** Events of a stream, and the pause between two: a stream then lasts half a second, an item as long. */
+  /** Events of a stream, and the pause between two events. */
   events: 20,
   pause: 25,
-  /** Troubles begin within this, and load goes on for `tail` longer. */
+  /** Troubles begin within `window`, and load continues for `tail` after it. */
   window: 9_000,
   tail: 2_000,
   maxTroubles: 6,
   maxDuration: 3_500,
-  /** Between two requests; and between two jobs. */
+  /** Time between two requests, and between two jobs. */
   requestPeriod: 60,
   jobPeriod: 700,
   jobItems: 5,
-  /** Within which all accepted jobs must be done once all is well again. */
+  /** Time in which all accepted jobs must be complete once load and troubles have ended. */
   finishBound: 20_000,
-  /** Time that callers give. */
+  /** Deadline of the callers' requests. */
   deadline: 5_000,
-  /** Bounds of the users' pages: configuration in force, leaving servers, items of an ended job, and slack for a busy machine. */
+  /** Bounds on applying a configuration, on draining a server and on cancelling a job, and slack for a busy machine. */
   configurationBound: 2_000,
   drainBound: 2_000,
   cancelBound: 3_000,
--- a/bench/soak/store-trouble.ts
+++ b/bench/soak/store-trouble.ts
@@ -1,2 +1,2 @@
-/** How the store treats all daemons for a while. */
+/** A fault of the store, which all daemons see. */
 export type StoreTrouble = 'busy' | 'limited' | 'silent' | 'slow' | 'loses replies' | 'forgets history'
--- a/bench/soak/trouble.ts
+++ b/bench/soak/trouble.ts
@@ -1,7 +1,7 @@
 import type { RelayMode } from '../../harness/relay-mode.js'
 import type { StoreTrouble } from './store-trouble.js'
 
-/** One thing that goes wrong, or planned work. `at` and `lasting` in ms; daemons and engines by their number. */
+/** A fault or a planned operation. `at` and `lasting` in ms; daemons and engines are given by index. */
 export type Trouble =
   | { readonly type: 'daemon killed', readonly at: number, readonly lasting: number, readonly daemon: number }
   | { readonly type: 'daemon ended', readonly at: number, readonly daemon: number }
--- a/test/soak/check-record.test.ts
+++ b/test/soak/check-record.test.ts
@@ -20,26 +20,26 @@
 interface Case { readonly name: string, readonly record: Partial<SoakRecord>, readonly found: RegExp | undefined }
 
 const cases: readonly Case[] = [
-  { name: 'a whole answer of a server that ran it', record: { requests: [request], runs: [run] }, found: undefined },
-  { name: 'a whole job', record: { jobs: [job] }, found: undefined },
+  { name: 'a complete answer of a server that ran the request', record: { requests: [request], runs: [run] }, found: undefined },
+  { name: 'a complete job', record: { jobs: [job] }, found: undefined },
   { name: 'an event is missing', record: { requests: [{ ...request, text: request.text.replace(/id: 3\n.*\n\n/, '') }], runs: [run] }, found: /other events/ },
-  { name: 'an answer of a server that did not run it', record: { requests: [{ ...request, stamp: 'stamp-i-1' }], runs: [run] }, found: /no such server/ },
-  { name: 'refused as not run, and ran', record: { requests: [{ ...request, outcome: 'refused', status: 503, text: '' }], runs: [run] }, found: /was answered 503, and ran/ },
+  { name: 'an answer of a server that did not run the request', record: { requests: [{ ...request, stamp: 'stamp-i-1' }], runs: [run] }, found: /no such server/ },
+  { name: 'a request refused as not run has run', record: { requests: [{ ...request, outcome: 'refused', status: 503, text: '' }], runs: [run] }, found: /was answered 503, and ran/ },
   { name: 'a request that may run once runs twice', record: { requests: [{ ...request, resumable: false }], runs: [run, { ...run, engine: 'i-1' }] }, found: /may run once/ },
-  { name: 'one that may be resumed', record: { requests: [request], runs: [run, { ...run, engine: 'i-1', resumedAfter: 3 }] }, found: undefined },
-  { name: 'cut though its server sent all', record: { requests: [{ ...request, outcome: 'cut', text: request.text.slice(0, 40) }], runs: [run] }, found: /was cut/ },
-  { name: 'cut by a daemon that was killed', record: { requests: [{ ...request, outcome: 'cut', text: request.text.slice(0, 40) }], runs: [run], harmed: [{ daemon: 0, from: 5_200, to: 9_000 }] }, found: undefined },
+  { name: 'a resumable request runs twice', record: { requests: [request], runs: [run, { ...run, engine: 'i-1', resumedAfter: 3 }] }, found: undefined },
+  { name: 'an answer is cut though its server sent all of it', record: { requests: [{ ...request, outcome: 'cut', text: request.text.slice(0, 40) }], runs: [run] }, found: /was cut/ },
+  { name: 'an answer is cut by a daemon that was killed', record: { requests: [{ ...request, outcome: 'cut', text: request.text.slice(0, 40) }], runs: [run], harmed: [{ daemon: 0, from: 5_200, to: 9_000 }] }, found: undefined },
   { name: 'a route that all configurations have is not found', record: { requests: [{ ...request, outcome: 'no route', status: 404, text: '' }] }, found: /found no route/ },
-  { name: 'a route that is gone is still served', record: { requests: [{ ...request, path: '/extra/1', text: stream('/extra/1') }], runs: [{ ...run, path: '/extra/1' }] }, found: /a route that is gone/ },
-  { name: 'a run that nobody asked for', record: { runs: [run] }, found: /nobody sent/ },
-  { name: 'a server that leaves gets a request late', record: { requests: [request], runs: [run], leaving: [{ engine: 'i-0', at: 1_000 }] }, found: /after it said that it leaves/ },
-  { name: 'a job that was accepted is not found', record: { jobs: [{ ...job, reads: [reading, { ...reading, status: 404, results: [] }] }] }, found: /wasn't found/ },
-  { name: 'a position changes', record: { jobs: [{ ...job, reads: [{ ...reading, results: [result('j-1')] }, reading] }] }, found: /position 0/ },
-  { name: 'an item is never done', record: { jobs: [{ ...job, reads: [{ ...reading, results: [result('j-0')] }] }] }, found: /never done/ },
-  { name: 'an item stands twice', record: { jobs: [{ ...job, reads: [{ ...reading, results: [result('j-0'), result('j-0')] }] }] }, found: /two positions/ },
-  { name: 'an item that could be done is given up', record: { jobs: [{ ...job, reads: [{ ...reading, results: [result('j-0'), { id: 'j-1', state: 'failed', text: '' }] }] }] }, found: /was given up/ },
+  { name: 'a removed route is still served', record: { requests: [{ ...request, path: '/extra/1', text: stream('/extra/1') }], runs: [{ ...run, path: '/extra/1' }] }, found: /a removed route/ },
+  { name: 'a run that no caller asked for', record: { runs: [run] }, found: /no caller sent/ },
+  { name: 'a draining server gets a request after the bound', record: { requests: [request], runs: [run], leaving: [{ engine: 'i-0', at: 1_000 }] }, found: /after it began to drain/ },
+  { name: 'an accepted job is not found', record: { jobs: [{ ...job, reads: [reading, { ...reading, status: 404, results: [] }] }] }, found: /wasn't found/ },
+  { name: 'the result at a position changes', record: { jobs: [{ ...job, reads: [{ ...reading, results: [result('j-1')] }, reading] }] }, found: /position 0/ },
+  { name: 'an item never gets a result', record: { jobs: [{ ...job, reads: [{ ...reading, results: [result('j-0')] }] }] }, found: /never got a result/ },
+  { name: 'an item has two results', record: { jobs: [{ ...job, reads: [{ ...reading, results: [result('j-0'), result('j-0')] }] }] }, found: /two positions/ },
+  { name: 'an item that can be completed has failed', record: { jobs: [{ ...job, reads: [{ ...reading, results: [result('j-0'), { id: 'j-1', state: 'failed', text: '' }] }] }] }, found: /failed, though it can be completed/ },
   { name: 'a refused job runs', record: { jobs: [{ ...job, acceptedAt: undefined, statuses: [503], reads: [] }], runs: [{ ...run, id: 'j-0' }] }, found: /was refused each time, and ran/ },
-  { name: 'a daemon ends by itself', record: { exits: ['daemon 1 ended by itself'] }, found: /by itself/ }
+  { name: 'a daemon exits unexpectedly', record: { exits: ['daemon 1 exited unexpectedly'] }, found: /exited unexpectedly/ }
 ]
 
 for (const { name, record, found } of cases) {
