--- a/bench/address-book.ts
+++ b/bench/address-book.ts
@@ -2,7 +2,7 @@
 
 const PERIOD = 500
 
-/** Entry addresses as a caller keeps them: asked again every half second from any that answers. */
+/** A caller's list of entry addresses, refreshed every half second from the daemons that answer. */
 export class AddressBook {
   urls: readonly string[]
   private readonly timer: NodeJS.Timeout
--- a/bench/apply-fault.ts
+++ b/bench/apply-fault.ts
@@ -2,10 +2,10 @@
 import { failUnreachable } from '../src/kernel/unreachable.js'
 import type { Fault } from './fault.js'
 
-/** ms by which the platform's instance list lags behind a death. */
+/** Time in ms until the platform's instance list no longer has a killed process. */
 const LIST_LAG = 3_000
 
-/** Brings a fault about. The function it gives back ends it, where that can be. */
+/** Applies a fault to the fleet. Returns a function that ends the fault, or does nothing if it is permanent or ends on its own. */
 export async function applyFault (fleet: Fleet, fault: Fault): Promise<() => Promise<void>> {
   const noop = async (): Promise<void> => {}
   const kill = (name: string): void => {
--- a/bench/bench-fleet.ts
+++ b/bench/bench-fleet.ts
@@ -7,14 +7,14 @@
 
 const POOL = 'charter-engines'
 
-/** What varies between bench fleets; all other keys are settings of each daemon. */
+/** Options of a bench fleet; all other keys are settings of each daemon. */
 interface BenchFleetOptions {
   readonly folder?: string
   readonly enginesPerProcess?: number
   readonly [setting: string]: unknown
 }
 
-/** Starts the processes of a site and applies the bench's configuration; `settings` go to each daemon. */
+/** Starts the processes of a site and applies the bench's configuration. */
 export async function startBenchFleet ({ engines, daemons }: Pick<Site, 'engines' | 'daemons'>, { folder = FOLDER, enginesPerProcess = 1, ...settings }: BenchFleetOptions = {}): Promise<Fleet> {
   const fleet = await Fleet.start()
   await Promise.all([
--- a/bench/build-report-page.ts
+++ b/bench/build-report-page.ts
@@ -9,7 +9,7 @@
 
 const STYLE = 'body{font:14px system-ui,sans-serif;margin:2em;max-width:60em}td,th{padding:2px 10px;text-align:right;border-bottom:1px solid #ddd}td:first-child{text-align:left}text{font:12px system-ui,sans-serif}'
 
-/** The reports as one HTML page with plots, without scripts or outside files. */
+/** Returns the reports as one self-contained HTML page with plots. */
 export function buildReportPage ({ policies, faults, due }: { readonly policies: readonly PolicyReport[], readonly faults: readonly FaultResult[], readonly due: readonly DueReport[] }): string {
   return `<!doctype html><html lang="en"><meta charset="utf-8"><title>citronwheel bench</title><style>${STYLE}</style><h1>citronwheel bench</h1>` +
     policies.map(showPolicies).join('') + (faults.length === 0 ? '' : showFaults(faults)) + drawDue(due) + '</html>\n'
@@ -36,7 +36,7 @@
       ...results.map(result => ({ label: label(result), values: [result.batchRate] }))
     ]
   })
-  const wasted = drawBars(`${site}: tokens thrown away by giving way`, { series: ['tokens'], unit: '', rows: results.map(result => ({ label: label(result), values: [result.work.wastedTokens] })) })
+  const wasted = drawBars(`${site}: tokens wasted by preemption`, { series: ['tokens'], unit: '', rows: results.map(result => ({ label: label(result), values: [result.work.wastedTokens] })) })
   return `<h2>${escapeHtml(site)}</h2>${times('firstToken')}${times('betweenTokens')}${batch}${wasted}${drawOnlineImpact(report)}${results.map(result => `<p>${escapeHtml(`(${result.letter}) where idle capacity went: ${showIdleAccount(result)}`)}</p>`).join('')}`
 }
 
--- a/bench/check-bounds.ts
+++ b/bench/check-bounds.ts
@@ -5,7 +5,7 @@
 import type { PolicyReport } from './policy-report.js'
 import type { Ratio } from './ratio.js'
 
-/** The bounds of bench/bounds.yaml: ratios within one run, but for the time to a refusal, which is asked for in ms. */
+/** The bounds in bench/bounds.yaml: ratios within one run, and the time to a refusal in ms. */
 interface Bounds {
   readonly policies: {
     readonly firstTokenP99: number
@@ -17,7 +17,7 @@
   readonly overload: { readonly goodputOverPeak: number, readonly refusedWithin: number }
 }
 
-/** Every bound that the reports break, each with what was measured. */
+/** Returns one line for each bound that the reports exceed, with the measured value. */
 export function checkBounds ({ policies = [], faults = [], overloads = [] }: {
   readonly policies?: readonly PolicyReport[]
   readonly faults?: readonly FaultResult[]
@@ -45,7 +45,7 @@
   ]
 }
 
-/** The measured value decides; the interval only tells whether more repeats could change the verdict. */
+/** Compares the measured value with the bound; the interval only shows whether more repeats could change the verdict. */
 function checkRatio (what: string, { value, low, high }: Ratio, most: number): readonly string[] {
   const verdict = low > most ? 'beyond chance' : 'within chance: repeat more often'
   return checkMost(`${what} (95 %: ${low.toFixed(3)} to ${high.toFixed(3)}, ${verdict})`, value, most)
--- a/bench/count-missed-starts.ts
+++ b/bench/count-missed-starts.ts
@@ -1,7 +1,7 @@
 import type { Fleet } from '../harness/fleet.js'
 import { readMetrics } from './read-metrics.js'
 
-/** Batch starts that admission allowed and that didn't come about, by cause, over all daemons. */
+/** Counts, by cause and over all daemons, the batch starts that admission allowed but that did not happen. */
 export async function countMissedStarts (fleet: Fleet): Promise<Readonly<Record<string, number>>> {
   const samples = (await Promise.all(fleet.daemons.map(async daemon => await readMetrics(fleet.url(daemon))))).flat()
   const counts: Record<string, number> = {}
--- a/bench/draw-online-impact.ts
+++ b/bench/draw-online-impact.ts
@@ -4,7 +4,7 @@
 
 const PERCENT = 100
 
-/** A table of the repeats one by one, so that bad ones show, and the ratios with their intervals. */
+/** Returns an HTML table of the single repeats, so that outliers are visible, and the ratios with their intervals. */
 export function drawOnlineImpact (report: PolicyReport): string {
   const rows = report.repeats.map(({ letter, load, batchRate }) => {
     const { firstToken, betweenTokens } = load
--- a/bench/engine-options.ts
+++ b/bench/engine-options.ts
@@ -1,6 +1,6 @@
 /**
- * Parameters of the bench's stand-in engines: a step of 18 ms and 0.4 ms more for each further sequence, so that 32
- * sequences run at 30 ms a token. Chosen in the range that the users' targets ask for (46 ms between tokens).
+ * Parameters of the bench's stand-in engines: a step takes 18 ms and 0.4 ms more for each further sequence, so that 32
+ * sequences run at 30 ms a token, within the target of 46 ms between tokens.
  */
 export const engineOptions = {
   stepBase: 18,
--- a/bench/engine-work.ts
+++ b/bench/engine-work.ts
@@ -1,10 +1,10 @@
-/** What the engines' own logs say was run between two moments. */
+/** Runs and tokens in the engines' logs since a given time. */
 export interface EngineWork {
   readonly onlineRuns: number
   readonly onlineTokens: number
   readonly batchRuns: number
   readonly batchTokens: number
   readonly batchFinished: number
-  /** Tokens of batch runs that were cancelled and that no later run took up. */
+  /** Tokens of cancelled batch runs that no later run resumed from. */
   readonly wastedTokens: number
 }
--- a/bench/estimate-ratio.ts
+++ b/bench/estimate-ratio.ts
@@ -12,8 +12,8 @@
 }
 
 /**
- * The ratio of a quantile over that of `base`, with a bootstrap interval (Efron, 1979). Whole seconds are drawn, and the
- * same for both: requests of one burst are late together, and drawn one by one they would make the interval too narrow.
+ * Estimates the ratio of a quantile to that of `base`, with a bootstrap interval (Efron, 1979). Resamples blocks of one
+ * second, the same for both: latencies within a burst are correlated, and single requests would make the interval too narrow.
  */
 export function estimateRatio (samples: readonly OnlineSample[], base: readonly OnlineSample[], options: RatioOptions): Ratio {
   const blocks = [...new Set([...samples, ...base].map(({ block }) => block))]
@@ -32,14 +32,14 @@
   return samples.flatMap(sample => pick(sample).map(value => ({ value, block: indexes.get(sample.block)! }))).sort((a, b) => a.value - b.value)
 }
 
-/** How often each block is drawn when as many as there are are drawn. */
+/** Draws `count` blocks with replacement and returns how often each was drawn. */
 function drawWeights (count: number, random: Random): readonly number[] {
   const weights = new Array<number>(count).fill(0)
   for (let i = 0; i < count; i++) weights[random.below(count)]!++
   return weights
 }
 
-/** The smallest value with at least `quantile` of all up to it. */
+/** Returns the smallest value at or below which lies at least `quantile` of the weight. */
 function readQuantile (ranked: readonly Ranked[], weights: readonly number[], quantile: number): number {
   const needed = quantile * ranked.reduce((sum, { block }) => sum + weights[block]!, 0)
   let reached = 0
--- a/bench/export-model.ts
+++ b/bench/export-model.ts
@@ -6,14 +6,14 @@
 const LENGTH = 400_000
 const SEEDS = [1, 2, 3]
 const ITEM_PROMPTS = [300, 1_500]
-/** Roomy; just over what the running sequences need; less than they need, so that fewer run. */
+/** Tokens of KV cache by item prompt: ample, just enough for all running sequences, and too few for all of them. */
 const MEMORY = [{ 300: 40_000, 1500: 80_000 }, { 300: 9_000, 1500: 38_000 }, { 300: 6_000, 1500: 20_000 }] as const
-/** ms: a round trip to the engine, and one in which it copies the blocks out. */
+/** Export times in ms: only a round trip to the engine, and one in which it also copies the blocks out. */
 const VARIANTS = [{}, { exportTime: 1 }, { exportTime: 10 }, { elsewhere: true }, { elsewhere: true, exportTime: 1 }] as const
 
 const read = (values: readonly number[], quantile: number): number => Float64Array.from(values).sort()[Math.floor(quantile * values.length)]!
 
-// What giving way costs with and without export of KV cache, where online prompts evict the blocks of items that gave way.
+// Compares the cost of preemption with and without export of KV cache, when online prompts evict the blocks of preempted items.
 for (const site of sites) {
   for (const itemPrompt of ITEM_PROMPTS) {
     for (const memory of MEMORY) {
--- a/bench/fault-suite.ts
+++ b/bench/fault-suite.ts
@@ -11,7 +11,7 @@
   { type: 'platform out', lasting: 60_000 }
 ]
 
-/** Every fault, or the one named, each on a fleet of its own. */
+/** Runs every fault, or only the one given, each on a new fleet. */
 export async function runFaultSuite (site: Site, log: (sentence: string) => void, only?: string): Promise<readonly FaultResult[]> {
   const results: FaultResult[] = []
   for (const fault of FAULTS.filter(({ type }) => only === undefined || type === only)) {
--- a/bench/fault.ts
+++ b/bench/fault.ts
@@ -1,4 +1,4 @@
-/** What the fault suite does to a running fleet. */
+/** A fault that the fault suite applies to a running fleet. */
 export type Fault =
   | { readonly type: 'engine killed' }
   | { readonly type: 'engine frozen' }
--- a/bench/idle-account.ts
+++ b/bench/idle-account.ts
@@ -1,21 +1,21 @@
-/** Where the batch tokens went that an engine could have given while no online request was in flight there. */
+/** Breakdown of the batch tokens that an engine could have generated while it had no online request in flight. */
 export interface IdleAccount {
-  /** ms without an online request. */
+  /** Time in ms without an online request. */
   readonly idle: number
-  /** Tokens that a full batch would have given in that time. */
+  /** Tokens that a full batch would have generated in that time. */
   readonly possible: number
-  /** Tokens given in that time. */
+  /** Tokens generated in that time. */
   readonly given: number
-  /** Tokens given beside online requests. */
+  /** Tokens generated while online requests were in flight. */
   readonly beside: number
-  /** From the end of the last online request to the first batch start: news on its way, or no work at hand. */
+  /** Lost between the end of the last online request and the first batch start, by notification delay or lack of work. */
   readonly lateStart: number
-  /** While streams came back after an online request. */
+  /** Lost while batch streams were restarting after an online request. */
   readonly refill: number
-  /** Streams fewer than allowed once they had come back: gaps between an item's end and the next one's start. */
+  /** Lost in the gaps between the end of an item and the start of the next. */
   readonly replacing: number
-  /** Slots that are left free on purpose. */
+  /** Tokens of slots that admission leaves free. */
   readonly headroom: number
-  /** What running streams gave less than their steps allow: prefill, steps cut by giving way, timers of the engine. */
+  /** Lost by running streams to prefill, preempted steps and timers of the engine. */
   readonly steps: number
 }
--- a/bench/list-samples.ts
+++ b/bench/list-samples.ts
@@ -3,7 +3,7 @@
 
 const BLOCK = 1_000
 
-/** The samples of a run's streamed answers. */
+/** Returns the samples of the streamed answers of one repeat. */
 export function listSamples (outcomes: readonly LoadOutcome[], repeat: number): readonly OnlineSample[] {
   return outcomes.flatMap(({ outcome, at, firstToken, gaps }) => {
     return outcome === 'answered' && firstToken !== undefined && gaps !== undefined ? [{ block: `${repeat}/${Math.floor(at / BLOCK)}`, firstToken, gaps }] : []
--- a/bench/main.ts
+++ b/bench/main.ts
@@ -16,8 +16,8 @@
 
 const OUT = 'bench/out'
 const USAGE = `npm run bench -- [--suite policies|faults|overload|slopes|due]… [--fault NAME] [--line NAME]… [--size NUMBER]… [--runs NUMBER] [--site NAME] [--policy LETTERS] [--repeat N] [--check]
-  without --suite: policies and faults; --repeat runs the policies N times in turn and narrows the intervals;
-  --check exits 1 when a bound of bench/bounds.yaml is broken`
+  default suites: policies and faults; --repeat runs each policy N times, which narrows the intervals;
+  --check exits with 1 when a bound in bench/bounds.yaml is exceeded`
 
 function writeLine (sentence: string): void {
   console.log(`bench: ${sentence}`)
--- a/bench/merge-results.ts
+++ b/bench/merge-results.ts
@@ -3,7 +3,7 @@
 import type { PolicyResult } from './policy-result.js'
 import type { PolicyRunResult } from './policy-run-result.js'
 
-/** The repeats of one policy as one result: quantiles are of all requests together, rates are means. */
+/** Merges the repeats of one policy: quantiles are over the requests of all repeats, rates are means. */
 export function mergeResults (runs: readonly PolicyRunResult[]): PolicyResult {
   const { site, letter, name } = runs[0]!
   const mean = (pick: (run: PolicyRunResult) => number): number => runs.reduce((sum, run) => sum + pick(run), 0) / runs.length
--- a/bench/online-impact.ts
+++ b/bench/online-impact.ts
@@ -1,6 +1,6 @@
 import type { Ratio } from './ratio.js'
 
-/** What a policy does to online requests, over the same requests without batch. */
+/** Latency of online requests under a policy relative to the same requests without batch work. */
 export interface OnlineImpact {
   readonly letter: string
   readonly firstTokenP99: Ratio
--- a/bench/online-sample.ts
+++ b/bench/online-sample.ts
@@ -1,4 +1,4 @@
-/** What one online request measured. Times in ms. */
+/** Latencies of one online request. Times in ms. */
 export interface OnlineSample {
   /** The same for the requests of one second of one repeat, under every policy. */
   readonly block: string
--- a/bench/overload-result.ts
+++ b/bench/overload-result.ts
@@ -1,8 +1,8 @@
-/** What callers at twice the capacity of a fleet see. Rates a second, times in ms. */
+/** Measurements of a fleet at twice its capacity. Rates per second, times in ms. */
 export interface OverloadResult {
-  /** Answers with callers that keep the servers just full. */
+  /** Rate of answers with just enough callers to keep the servers full. */
   readonly peak: number
-  /** Answers at twice that load. */
+  /** Rate of answers at twice that load. */
   readonly goodput: number
   /** Median time to a refusal. */
   readonly refusedWithin: number
--- a/bench/policies.ts
+++ b/bench/policies.ts
@@ -1,6 +1,6 @@
 import type { Policy } from './policy.js'
 
-/** The policies compared: ours and the baselines. */
+/** The compared policies: baselines (a) to (d), and (e), the one in use. */
 export const policies: readonly Policy[] = [
   { letter: 'a', name: 'no batch' },
   { letter: 'b', name: 'forwarded as it comes', batchPolicy: { type: 'forward' } },
--- a/bench/policy-model.ts
+++ b/bench/policy-model.ts
@@ -12,7 +12,7 @@
 const BETWEEN_TOKENS = 46
 const ENGINE: EngineParameters = { ...defaultParameters, stepBase: 12, stepPerSequence: 0.25, prefillPerToken: 0.05, memoryTokens: 120_000 }
 const POLICIES: readonly BatchPolicy[] = [{ type: 'none' }, { type: 'forward' }, { type: 'static', streams: 16 }, { type: 'load reports' }, { type: 'preempting' }]
-/** How late news of online requests may come, ms: slow links. */
+/** Delays in ms of notifications of online requests, as on slow links. */
 const NOTIFICATION_DELAYS = [20, 100, 500]
 const WORKLOADS = {
   bursts: { burst: 4_000, quiet: 6_000, between: 250 },
@@ -64,5 +64,5 @@
 const base = merge(SEEDS.map(seed => runModel({ type: 'none' }, 'bursts', seed)))
 for (const delay of NOTIFICATION_DELAYS) {
   const run = merge(SEEDS.map(seed => runModel({ type: 'preempting' }, 'bursts', seed, delay)))
-  console.log(`\nbursts, preempting, news ${delay} ms late\n  first token ${show(readQuantiles(run.firstToken), readQuantiles(base.firstToken))}\n  between     ${show(readQuantiles(run.betweenTokens), readQuantiles(base.betweenTokens))}`)
+  console.log(`\nbursts, preempting, notifications ${delay} ms late\n  first token ${show(readQuantiles(run.firstToken), readQuantiles(base.firstToken))}\n  between     ${show(readQuantiles(run.betweenTokens), readQuantiles(base.betweenTokens))}`)
 }
--- a/bench/policy-report.ts
+++ b/bench/policy-report.ts
@@ -1,18 +1,18 @@
 import type { OnlineImpact } from './online-impact.js'
 import type { PolicyResult } from './policy-result.js'
 
-/** All policies of one site, and the batch rate of its engines with no online work. */
+/** Results of all policies at one site, with the batch rate of its engines without online work. */
 export interface PolicyReport {
   readonly site: string
-  /** Tokens a second of batch work alone, everything forwarded. */
+  /** Tokens per second of batch work alone, all of it forwarded. */
   readonly fullBatchRate: number
-  /** What (a) leaves: the full batch rate over the share of the time in which its engines ran nothing. */
+  /** The full batch rate times the share of time in which the engines ran nothing under (a). */
   readonly idleCapacity: number
-  /** The harsher measure: the full batch rate less the tokens a second that (a) gave online. */
+  /** The full batch rate minus the online tokens per second of (a). */
   readonly spareCapacity: number
-  /** One a policy, its repeats together. */
+  /** One result per policy, its repeats merged. */
   readonly results: readonly PolicyResult[]
-  /** One a repeat. */
+  /** One result per repeat. */
   readonly repeats: readonly PolicyResult[]
   readonly harm: readonly OnlineImpact[]
 }
--- a/bench/policy-result.ts
+++ b/bench/policy-result.ts
@@ -2,7 +2,7 @@
 import type { EngineWork } from './engine-work.js'
 import type { IdleAccount } from './idle-account.js'
 
-/** What one policy gave at one site. Rates in tokens a second. */
+/** Measurements of one policy at one site. Rates in tokens per second. */
 export interface PolicyResult {
   readonly site: string
   readonly letter: string
@@ -10,11 +10,11 @@
   readonly load: LoadSummary
   readonly work: EngineWork
   readonly seconds: number
-  /** Of each engine, where its idle time went. */
+  /** For each engine, the breakdown of its idle time. */
   readonly idleAccounts: readonly IdleAccount[]
-  /** Starts that admission allowed and that didn't come about, by the daemons' own count of why. */
+  /** Starts that admission allowed but that did not happen, counted by the daemons by cause. */
   readonly missedStarts: Readonly<Record<string, number>>
-  /** Mean share of the time in which an engine ran nothing. */
+  /** Mean share of time in which an engine ran nothing. */
   readonly idleShare: number
   readonly batchRate: number
   readonly itemRate: number
--- a/bench/policy-suite.ts
+++ b/bench/policy-suite.ts
@@ -11,14 +11,14 @@
 import type { Site } from './site.js'
 
 interface SuiteOptions {
-  /** Letters of the policies; (a), which the others are measured against, must be among them. */
+  /** Letters of the policies; must include the reference (a). */
   readonly letters?: string
   readonly repeats?: number
 }
 
 /**
- * Runs policies at a site one after another, under the same work and seed; repeats take turns, each with a seed of its
- * own that all policies share, so that what changes on the machine meets them all.
+ * Runs policies at a site one after another under the same work. Repeats are interleaved, each with a seed that all
+ * policies share, so that changes of the machine affect all policies alike.
  */
 export async function runPolicySuite (site: Site, log: (sentence: string) => void, { letters = 'abcde', repeats = 1 }: SuiteOptions = {}): Promise<PolicyReport> {
   const full = await runPolicy(site, policies.find(({ letter }) => letter === 'b')!, { online: false })
@@ -62,5 +62,5 @@
   const { firstToken, betweenTokens } = load
   return `first token p50 ${firstToken.p50.toFixed(0)} p99 ${firstToken.p99.toFixed(0)} p99.9 ${firstToken.p999.toFixed(0)} ms, ` +
     `between tokens p50 ${betweenTokens.p50.toFixed(1)} p99 ${betweenTokens.p99.toFixed(1)} ms, batch ${batchRate.toFixed(0)} tokens/s, ` +
-    `${work.wastedTokens} thrown away, answered ${load.answered} of ${load.asked}, refused ${JSON.stringify(load.refused)}, cut ${load.cut}, lost ${load.lost}`
+    `${work.wastedTokens} wasted, answered ${load.answered} of ${load.asked}, refused ${JSON.stringify(load.refused)}, cut ${load.cut}, lost ${load.lost}`
 }
--- a/bench/policy.ts
+++ b/bench/policy.ts
@@ -1,6 +1,6 @@
 import type { BatchPolicy } from '../src/ownership/batch-policy.js'
 
-/** One way of letting batch work onto servers, by the letter that issue 4 gives it. */
+/** A policy of batch admission, and the letter that names it in reports. */
 export interface Policy {
   readonly letter: 'a' | 'b' | 'c' | 'd' | 'e'
   readonly name: string
--- a/bench/ratio.ts
+++ b/bench/ratio.ts
@@ -1,4 +1,4 @@
-/** A quantile with a policy over the same without batch, and the interval in which chance alone leaves it. */
+/** The ratio of a latency quantile under a policy to that without batch, and its confidence interval. */
 export interface Ratio {
   readonly value: number
   /** 95 % bootstrap interval. */
--- a/bench/read-engine-work.ts
+++ b/bench/read-engine-work.ts
@@ -4,7 +4,7 @@
 
 const ONLINE_PREFIX = 'load-'
 
-/** Adds up the logs of all engines that answer; runs that began before `since` (wall-clock ms) are left out. */
+/** Sums the logs of all engines that answer, without runs that began before `since` (wall-clock ms). */
 export async function readEngineWork (fleet: Fleet, since: number): Promise<EngineWork> {
   const logs = await Promise.all(fleet.servers.map(async server => await fleet.readLog(server).catch(() => [])))
   const runs = logs.flat().filter(({ at }) => at >= since)
@@ -20,7 +20,7 @@
   }
 }
 
-/** Tokens by which items got further: from the shortest beginning that a run took up to the farthest one reached. */
+/** Sums the progress of all items: from the earliest token that a run resumed from to the furthest token reached. */
 function countUsedTokens (batch: readonly RunRecord[]): number {
   const items = new Map<string, { from: number, to: number }>()
   for (const { requestId, body, tokens = 0 } of batch) {
--- a/bench/read-idle-share.ts
+++ b/bench/read-idle-share.ts
@@ -1,6 +1,6 @@
 import type { RunRecord } from '../stand-ins/engine/run-record.js'
 
-/** The share of `[since, until]` (wall-clock ms) in which an engine with this log ran nothing. */
+/** Returns the share of `[since, until]` (wall-clock ms) in which an engine with this log ran nothing. */
 export function readIdleShare (runs: readonly RunRecord[], since: number, until: number): number {
   const spans = runs
     .map(({ at, endedAt = until }) => [Math.max(at, since), Math.min(endedAt, until)] as const)
--- a/bench/read-metrics.ts
+++ b/bench/read-metrics.ts
@@ -3,7 +3,7 @@
 /** One sample of a daemon's /metrics. */
 interface Sample { readonly name: string, readonly labels: string, readonly value: number }
 
-/** The samples that a daemon's /metrics shows. */
+/** Reads and parses a daemon's /metrics. */
 export async function readMetrics (url: string): Promise<readonly Sample[]> {
   const text = await (await fetch(`${url}/metrics`)).text()
   return text.split('\n').flatMap(line => {
--- a/bench/run-fault.ts
+++ b/bench/run-fault.ts
@@ -20,7 +20,7 @@
 const BACKLOG_JOBS = 2
 const SLOW_FACTOR = 2
 
-/** Brings one fault about under steady online load and a batch backlog, and measures what callers see of it. */
+/** Applies one fault under constant online load and a batch backlog, and measures its effect on callers. */
 export async function runFault (site: Site, fault: Fault): Promise<FaultResult> {
   const fleet = await startBenchFleet(site)
   const book = new AddressBook(fleet)
@@ -43,7 +43,7 @@
   }
 }
 
-/** A killed engine takes its log along, so the runs of those about to be killed are read just before. */
+/** Applies the fault. A killed engine loses its log, so the runs of engines about to be killed are counted first. */
 async function beginFault (fleet: Fleet, fault: Fault, since: number, before: { runs: number }): Promise<() => Promise<void>> {
   const killCount = fault.type === 'engine killed' ? 1 : fault.type === 'half the engines killed' ? fleet.servers.length / 2 : 0
   for (const server of fleet.servers.slice(0, killCount)) {
--- a/bench/run-overload.ts
+++ b/bench/run-overload.ts
@@ -9,12 +9,12 @@
 const MODEL = 'berth-assistant'
 const MAX_IN_FLIGHT = 6
 const TOKENS = 64
-/** Answers counted in each measurement, after a fifth as many that are left out. */
+/** Answers in each measurement, after a fifth as many that are not counted. */
 const MEASURED_ANSWERS = 300
 const SEND_PERIOD = 5
 const MS_PER_SECOND = 1_000
 
-/** Measures a fleet with its servers just full, then offers twice what it answered, without slowing down. */
+/** Measures the answer rate of a fleet with its servers just full, then offers twice that rate in an open loop. */
 export async function runOverload (): Promise<OverloadResult> {
   const fleet = await startFleet()
   try {
@@ -49,7 +49,7 @@
     this.clients = fleet.daemons.map(daemon => new CallerClient(fleet.url(daemon), 'quay-desk-token'))
   }
 
-  /** Half again as many callers as the servers have places; one that is refused waits a little. */
+  /** Measures in a closed loop with 1.5 times as many callers as the servers have slots; a refused caller waits briefly. */
   async measureFull (): Promise<number> {
     let busy = true
     const isBusy = (): boolean => busy
@@ -83,7 +83,7 @@
     return status === 200
   }
 
-  /** Answers a second over the next so many, the first few left out. */
+  /** Returns the rate of answers per second, after a warm-up that is not counted. */
   private async measure (): Promise<number> {
     const from = this.answered.length + MEASURED_ANSWERS / 5
     await this.fleet.waitUntil(async () => this.answered.length >= from)
--- a/bench/run-policy.ts
+++ b/bench/run-policy.ts
@@ -18,7 +18,7 @@
 /** Sequences of a full server in bench/folder. */
 const FULL_BATCH = 32
 
-/** Runs one policy at one site on a fleet of its own; `online` false brings batch only, to find the full batch rate. */
+/** Runs one policy at one site on a new fleet. With `online` false there is almost only batch work, to measure the full batch rate. */
 export async function runPolicy (site: Site, policy: Policy, { online = true } = {}): Promise<PolicyRunResult> {
   const fleet = await startBenchFleet(site, policy.batchPolicy === undefined ? {} : { batchPolicy: policy.batchPolicy })
   try {
--- a/bench/run-seeds.ts
+++ b/bench/run-seeds.ts
@@ -2,28 +2,28 @@
 import { parseArgs } from 'node:util'
 
 const OUT = 'bench/out'
-/** Findings that are printed for each seed; all are kept in its file. */
+/** Findings printed for each seed; all of them are written to its file. */
 const MAX_PRINTED = 12
 
-/** What one seed came to. */
+/** The result of one seed. */
 interface SeedOutcome {
-  /** Promises that were broken, a sentence each. */
+  /** One sentence for each violated guarantee. */
   readonly findings: readonly string[]
-  /** Kept beside the findings. */
+  /** Written to the seed's file together with the findings. */
   readonly kept: Readonly<Record<string, unknown>>
   readonly summary: string
-  /** Logs, kept where a promise was broken. */
+  /** Log lines, written to a file only if there are findings. */
   readonly lines?: readonly string[]
 }
 
 interface SeedsOptions {
-  /** Names the files in `bench/out` and the lines that are printed. */
+  /** Prefix of the files in `bench/out` and of the printed lines. */
   readonly name: string
   readonly usage: string
   readonly run: (seed: number) => Promise<SeedOutcome>
 }
 
-/** Runs the seeds that the command line asks for, keeps what was seen, and ends the process: with 1 when a promise was broken. */
+/** Runs the seeds given on the command line, writes their records and exits the process, with 1 if there are findings. */
 export function runSeeds (options: SeedsOptions): void {
   void runAll(options).then(code => process.exit(code), error => {
     console.error(error)
--- a/bench/run-slope-step.ts
+++ b/bench/run-slope-step.ts
@@ -18,7 +18,7 @@
 
 type Usage = Awaited<ReturnType<typeof readUsage>>
 
-/** Builds a fleet of the step's size, lets it settle, and reads what ten seconds cost. */
+/** Starts a fleet of the step's size, waits until it settles, and measures its resource usage over ten seconds. */
 export async function runSlopeStep (step: SlopeStep): Promise<SlopeResult> {
   const fleet = await startBenchFleet({ engines: step.servers, daemons: step.daemons }, { folder: writeCallers(step.callers), enginesPerProcess: ENGINES_PER_PROCESS })
   try {
--- a/bench/show-idle-account.ts
+++ b/bench/show-idle-account.ts
@@ -3,7 +3,7 @@
 const ROWS = ['given', 'lateStart', 'refill', 'replacing', 'headroom', 'steps'] as const
 const PERCENT = 100
 
-/** Where the idle capacity of a run's engines went, in % of what full batches would have given in their idle time. */
+/** Formats the breakdown of the engines' idle capacity, in % of the tokens that full batches would have generated. */
 export function showIdleAccount ({ idleAccounts, seconds, missedStarts }: Pick<PolicyResult, 'idleAccounts' | 'seconds' | 'missedStarts'>): string {
   const add = (pick: keyof PolicyResult['idleAccounts'][number]): number => idleAccounts.reduce((sum, account) => sum + account[pick], 0)
   const possible = add('possible')
--- a/bench/site.ts
+++ b/bench/site.ts
@@ -1,6 +1,6 @@
 import type { LoadPlan } from '../src/load/load-plan.js'
 
-/** One of the users' fleets as the bench builds it, with the online load it carries. */
+/** A user's fleet as the bench builds it, with its online load. */
 export interface Site {
   readonly name: string
   readonly engines: number
--- a/bench/sites.ts
+++ b/bench/sites.ts
@@ -2,10 +2,7 @@
 
 const CALLERS = ['quay-desk-token', 'school-kitchen-token']
 
-/**
- * The two users' fleets of today. Engine and server counts are the users'; rates and lengths are chosen so that
- * bursts of two seconds come close to what the engines take online, and half a minute shows several of them.
- */
+/** The fleets of two users. Bursts of up to two seconds come close to the engines' online capacity, and a run has several of them. */
 export const sites: readonly Site[] = [
   {
     name: 'keelmoor',
--- a/bench/slope-step.ts
+++ b/bench/slope-step.ts
@@ -1,12 +1,12 @@
-/** One step of a slope: a fleet of this size, and what is brought to it. */
+/** One step of a slope: the size of a fleet and its load. */
 export interface SlopeStep {
   readonly daemons: number
   readonly servers: number
-  /** Online requests a second. */
+  /** Online requests per second. */
   readonly rate: number
   /** Tokens of each answer. */
   readonly tokens: number
-  /** Batch items, in jobs of `itemsPerJob`. */
+  /** Batch jobs of `itemsPerJob` items each. */
   readonly jobs: number
   readonly itemsPerJob: number
   readonly callers: number
--- a/bench/slope-suite.ts
+++ b/bench/slope-suite.ts
@@ -4,7 +4,7 @@
 
 const BASE: SlopeStep = { daemons: 6, servers: 12, rate: 0, tokens: 16, jobs: 0, itemsPerJob: 0, callers: 0 }
 
-/** Each line moves one size and holds the others, so that its slope can be read off. */
+/** Steps by line; each line varies one size and keeps the others, so that the cost can be related to that size. */
 const STEPS: Readonly<Record<string, readonly SlopeStep[]>> = {
   daemons: [2, 6, 12, 24, 48].map(daemons => ({ ...BASE, daemons })),
   servers: [12, 50, 100, 200].map(servers => ({ ...BASE, servers })),
@@ -15,18 +15,18 @@
   callers: [0, 1_700, 6_800].map(callers => ({ ...BASE, callers }))
 }
 
-/** What each line moves. */
+/** The size that each line varies. */
 const VARIED: Readonly<Record<string, keyof SlopeStep>> = { daemons: 'daemons', servers: 'servers', requests: 'rate', tokens: 'tokens', jobs: 'jobs', items: 'itemsPerJob', callers: 'callers' }
 
 interface SlopeOptions {
   readonly lines?: readonly string[]
-  /** Only the steps of these sizes of what their line moves; all where it is left out. */
+  /** Runs only the steps with these values of the varied size; all of them by default. */
   readonly sizes?: readonly number[]
-  /** How often each step is run. */
+  /** Number of runs of each step. */
   readonly runs?: number
 }
 
-/** Runs the steps of the lines named, or of all. */
+/** Runs the steps of the given lines, or of all lines. */
 export async function runSlopeSuite (log: (sentence: string) => void, { lines = Object.keys(STEPS), sizes, runs = 1 }: SlopeOptions = {}): Promise<Readonly<Record<string, readonly SlopeResult[]>>> {
   const results: Record<string, SlopeResult[]> = {}
   for (const line of lines) {
--- a/bench/submit-backlog.ts
+++ b/bench/submit-backlog.ts
@@ -3,7 +3,7 @@
 
 const ITEMS_PER_JOB = 2_000
 
-/** Submits `jobs` batch jobs of `itemsPerJob` items each, so that there is a backlog throughout a run. Gives back their ids. */
+/** Submits `jobs` batch jobs of `itemsPerJob` items each, so that there is a backlog throughout a run. Returns their ids. */
 export async function submitBacklog (fleet: Fleet, { jobs, itemTokens, seed, itemsPerJob = ITEMS_PER_JOB }: { readonly jobs: number, readonly itemTokens: number, readonly seed: number, readonly itemsPerJob?: number }): Promise<readonly string[]> {
   const client = new CallerClient(fleet.url(fleet.daemons[0]!), 'night-desk-token')
   const ids: string[] = []
--- a/bench/summarize-idle.ts
+++ b/bench/summarize-idle.ts
@@ -4,12 +4,12 @@
 const ONLINE_PREFIX = 'load-'
 
 interface AccountOptions {
-  /** The time accounted for, wall-clock ms. */
+  /** Start and end of the measured time, wall-clock ms. */
   readonly since: number
   readonly until: number
   readonly stepBase: number
   readonly stepPerSequence: number
-  /** Sequences of a full batch, and those that admission allows of them. */
+  /** Sequences of a full batch, and the number of them that admission allows. */
   readonly full: number
   readonly allowed: number
 }
@@ -18,8 +18,8 @@
 type Loss = 'lateStart' | 'refill' | 'replacing'
 
 /**
- * Accounts for the idle time of one engine from its own log. Tokens of a run are taken to come evenly between its first
- * and its end, since the log has no times of the others.
+ * Breaks down the idle time of one engine from its log. The tokens of a run are assumed to be evenly spaced between its
+ * first token and its end, because the log has no times in between.
  */
 export function summarizeIdle (runs: readonly RunRecord[], options: AccountOptions): IdleAccount {
   const { since, until, full, allowed } = options
--- a/bench/write-callers.ts
+++ b/bench/write-callers.ts
@@ -6,7 +6,7 @@
 const FOLDER = 'bench/folder'
 const CALLERS_PER_FILE = 500
 
-/** A copy of the bench's folder with `count` more callers in it, `each` a file. */
+/** Copies the bench's folder and adds `count` callers, `each` of them per file. Returns the path of the copy, or of the original if `count` is 0. */
 export function writeCallers (count: number, each = CALLERS_PER_FILE): string {
   if (count === 0) return FOLDER
   const folder = mkdtempSync(join(tmpdir(), 'citronwheel-folder-'))
--- a/test/bench/hunt.test.ts
+++ b/test/bench/hunt.test.ts
@@ -25,7 +25,7 @@
   ['nothing went wrong', { sends: [send({})], runs: ['stream-1.0'], jobs: [job({})] }, undefined],
   ['another\'s answer', { sends: [send({ wrong: 'day 2' })] }, 'delivered as complete'],
   ['an end long after the deadline', { sends: [send({ took: 12_000 })] }, 'ended only after'],
-  ['an end that was late because the daemon was paused', { sends: [send({ took: 12_000 })], frozen: [{ daemon: 'entry-0', from: 5, to: 9_000 }] }, undefined],
+  ['an end that was late because the daemon stood still', { sends: [send({ took: 12_000 })], frozen: [{ daemon: 'entry-0', from: 5, to: 9_000 }] }, undefined],
   ['a request that nobody answered', { sends: [send({ outcome: 'no answer' })] }, 'neither an answer nor a refusal'],
   ['a refused request that ran', { sends: [send({ outcome: 'refused', ran: 'not run' })], runs: ['stream-1.0'] }, 'refused as not run, but ran'],
   ['a stream of one run', { sends: [send({ marked: 'a@e/1 b@e/1' })], engineRuns: { 'e/1': run() } }, undefined],
