--- a/bench/due/draw-due.ts
+++ b/bench/due/draw-due.ts
@@ -3,7 +3,7 @@
 
 const PERCENT = 100
 
-/** The share of jobs on time by order, a plot a site; nothing without reports. */
+/** Returns one plot per site of the share of jobs on time by order, or an empty string if there are no reports. */
 export function drawDue (reports: readonly DueReport[]): string {
   const sites = [...new Set(reports.map(({ site }) => site))]
   const plots = sites.map(site => drawBars(`${site}: jobs on time beside a backlog`, {
--- a/bench/due/due-job.ts
+++ b/bench/due/due-job.ts
@@ -1,7 +1,7 @@
 import type { WorkEntry } from '../../src/batch/work-entry.js'
 
-/** A job of the model. Times in ms. */
+/** A job of the simulation. Times in ms. */
 export interface DueJob extends WorkEntry {
-  /** Whether its on-time share is what is measured; the others are backlog. */
+  /** Whether it is due soon and counts for the on-time share; other jobs are backlog. */
   readonly urgent: boolean
 }
--- a/bench/due/due-run.ts
+++ b/bench/due/due-run.ts
@@ -1,9 +1,9 @@
-/** What one run gave for the jobs near their due time. */
+/** The result of one run of the simulation for its urgent jobs. */
 export interface DueRun {
   readonly jobs: number
   readonly onTime: number
-  /** ms by which the late ones were late, of those that ended. */
+  /** Lateness in ms of each late job that ended. */
   readonly late: readonly number[]
-  /** Items of the backlog done until the last near job was due, so that what order costs others shows. */
+  /** Backlog items completed during the run, which shows the cost of the order to other jobs. */
   readonly backlogItems: number
 }
--- a/bench/due/due-simulation.ts
+++ b/bench/due/due-simulation.ts
@@ -9,9 +9,9 @@
 import type { DueRun } from './due-run.js'
 
 const CHUNK = 200
-/** Jobs that one look reads, as in src/batch/work-finder. */
+/** Jobs that a daemon reads in one attempt to claim a chunk, as in src/batch/work-finder. */
 const MAX_JOBS_READ = 6
-/** ms until the chunks of a dead daemon are taken over, and its servers have other owners. */
+/** Time in ms until a dead daemon's chunk is taken over and its servers have new owners. */
 const TAKEOVER_TIME = 10_000
 const RETRY_TIME = 1_000
 
@@ -29,9 +29,9 @@
   servers: number
   alive: boolean
   chunk?: Chunk
-  /** When it last worked off items of its chunk. */
+  /** When the progress of its chunk was last recorded. */
   since: number
-  /** Distinguishes the planned end of a chunk from those that a fault has overtaken. */
+  /** Incremented on each change of plan, so that a scheduled end of a chunk that is out of date is ignored. */
   plan: number
   readonly use: RecentUsage
   readonly rest: Map<string, number>
@@ -42,14 +42,14 @@
   readonly jobs: readonly DueJob[]
   readonly daemons: number
   readonly servers: number
-  /** Items that a server gives in a ms beside and between its online requests. */
+  /** Items that a server completes per ms besides its online requests. */
   readonly pace: number
-  /** ms at which the first daemon and a server of the second are killed; never when left out. */
+  /** Times in ms at which the first daemon, and a server of the second, are killed; undefined for never. */
   readonly daemonKilled?: number
   readonly serverKilled?: number
 }
 
-/** Daemons that claim chunks of jobs in an order, on virtual time, one chunk at a time each. */
+/** Simulates, on virtual time, daemons that claim chunks of jobs in a given order, each one chunk at a time. */
 export class DueSimulation {
   private readonly schedule = new Schedule()
   private readonly jobs: JobState[] = []
@@ -84,7 +84,7 @@
     this.jobs.push(job)
   }
 
-  /** Claims the first free chunk in order and plans its end. */
+  /** Claims the first free chunk in order and schedules its end, or retries later. */
   private claimChunk (daemon: Daemon): void {
     if (!daemon.alive || daemon.chunk !== undefined) return
     for (const job of this.order(daemon).slice(0, MAX_JOBS_READ)) {
@@ -156,7 +156,7 @@
     if (daemon.chunk !== undefined) this.planEnd(daemon)
   }
 
-  /** Its chunk and its servers are taken over by the others after a while; results that were recorded stay. */
+  /** Kills a daemon. Other daemons take over its chunk and its servers after TAKEOVER_TIME; recorded results are kept. */
   private killDaemon (daemon: Daemon): void {
     const { chunk, servers } = daemon
     this.setServers(daemon, 0)
--- a/bench/due/due-sites.ts
+++ b/bench/due/due-sites.ts
@@ -2,7 +2,7 @@
 
 const MINUTE = 60_000
 
-/** Paces are what test/ownership/site-policy gives a server, over the items of the site. */
+/** A pace is the batch rate per server in test/ownership/site-policy, divided by the tokens of an item. */
 export const dueSites: readonly DueSite[] = [
   {
     name: 'keelmoor: itinerary drafts',
--- a/bench/due/due-suite.ts
+++ b/bench/due/due-suite.ts
@@ -7,7 +7,7 @@
 const ORDERS: readonly DueOrder[] = ['ours', 'by pace', 'first come', 'earliest due']
 const PERCENT = 100
 
-/** Every order at every site, with and without faults, on virtual time under the same jobs. */
+/** Simulates every order at every site, with and without faults, with the same jobs. */
 export function runDueSuite (log: (sentence: string) => void): readonly DueReport[] {
   return dueSites.flatMap(site => [false, true].flatMap(faults => ORDERS.map(order => {
     const runs = SEEDS.map(seed => runDue(site, { order, seed, faults }))
--- a/bench/due/run-due.ts
+++ b/bench/due/run-due.ts
@@ -19,8 +19,8 @@
 }
 
 /**
- * Jobs near their due time, beside a backlog of other callers' jobs that would keep the
- * fleet busy for two hours; with `faults` a daemon and a server are killed meanwhile.
+ * Simulates urgent jobs beside a backlog of other callers' jobs that would keep the fleet busy for two hours. With
+ * `faults`, a daemon and a server are killed during the run.
  */
 export function runDue ({ daemons, servers, pace, urgent }: DueSite, { order, seed, faults }: DueRunOptions): DueRun {
   const random = new Random(seed)
--- a/bench/policy/batch-item.ts
+++ b/bench/policy/batch-item.ts
@@ -1,4 +1,4 @@
-/** A batch item of the model between two runs; `done` answer tokens are there already. */
+/** A batch item of the simulation that is not running; `done` of its answer tokens already exist. */
 export interface BatchItem {
   readonly id: string
   readonly promptTokens: number
--- a/bench/policy/create-sequence.ts
+++ b/bench/policy/create-sequence.ts
@@ -1,6 +1,6 @@
 import type { Sequence } from '../../stand-ins/engine/sequence.js'
 
-/** A sequence for the batcher; `onToken` hears whether a token is its first or its last. */
+/** Creates a sequence for the batcher. `onToken` is called for each token with whether it is the first and the last. */
 export function createSequence ({ contextTokens, words, blocks, done = 0, imported = false }: Pick<Sequence, 'contextTokens' | 'words' | 'blocks'> & { readonly done?: number, readonly imported?: boolean }, onToken: (first: boolean, last: boolean) => void): Sequence {
   let first = true
   return {
--- a/bench/policy/policy-simulation.ts
+++ b/bench/policy/policy-simulation.ts
@@ -20,7 +20,7 @@
 const REPORT_PERIOD = 500
 const ITEM_SIZES: ItemSizes = { prompt: { from: 100, spread: 400 }, answer: { from: 50, spread: 200 } }
 
-/** One server, its owner and endless batch work, on virtual time. */
+/** Simulates one server, its owner and an endless batch backlog on virtual time. */
 export class PolicySimulation {
   readonly run: PolicyRun = { firstToken: [], betweenTokens: [], batchTokens: 0, besideTokens: 0, idle: 0, preemptions: 0, resumes: 0, prefilledAgain: 0 }
   private readonly schedule = new Schedule()
@@ -136,7 +136,7 @@
     this.schedule.after(HOP + (this.options.exportTime ?? 0), () => { sequence.cancelled = true })
   }
 
-  /** An item preempted here is still in the engine's cache, but for its last block. */
+  /** Starts up to `count` items, within the limits on their prefill. */
   private startSome ({ count, prefill, largest }: Extract<BatchAdmissionEffect, { type: 'start' }>): void {
     for (let i = 0, used = 0; i < count && used < prefill; i++) {
       const next = this.backlog.pop() ?? this.createItem()
@@ -150,6 +150,7 @@
     }
   }
 
+  /** Estimates the tokens to prefill. A preempted item is still in the cache except for its last block, unless it resumes elsewhere. */
   private estimateCost ({ done, promptTokens }: BatchItem): number {
     const { engine, elsewhere = false, exportTime } = this.options
     if (done === 0) return promptTokens
--- a/bench/policy/run-site.ts
+++ b/bench/policy/run-site.ts
@@ -9,24 +9,24 @@
 const MAX_IN_FLIGHT = 32
 const BETWEEN_TOKENS = 46
 const CHARACTERS_PER_TOKEN = 4
-/** Prompt tokens of an item of the bench's backlog. */
+/** Prompt tokens of an item in the bench's backlog. */
 const ITEM_PROMPT = 7
 
 interface SiteOptions {
   readonly length: number
   readonly seed: number
-  /** Without it only batch work comes. */
+  /** Whether there are online requests; true by default. */
   readonly online?: boolean
   readonly itemPrompt?: number
-  /** Tokens of KV cache of the server. */
+  /** Size of the server's KV cache in tokens. */
   readonly memoryTokens?: number
-  /** ms that exporting KV cache delays giving way; without it there is no export. */
+  /** Time in ms by which export of KV cache delays preemption; undefined for no export. */
   readonly exportTime?: number
-  /** Whether items that gave way go on at a server that doesn't have them in its cache. */
+  /** Whether preempted items resume at a server that doesn't have them in its cache. */
   readonly elsewhere?: boolean
 }
 
-/** One of a site's servers on virtual time, with its part of the site's online load and the items of the bench. */
+/** Simulates one server of a site with its share of the site's online load and the items of the bench. */
 export function runSite ({ plan, engines, itemTokens }: Site, policy: BatchPolicy, { length, seed, online = true, itemPrompt = ITEM_PROMPT, memoryTokens = engineOptions.memoryTokens, exportTime, elsewhere }: SiteOptions): PolicyRun {
   const { burst } = plan
   const part = { ...plan, seed, duration: length, rate: plan.rate / engines, burst: { ...burst, rate: burst.rate / engines } }
--- a/bench/policy/schedule.ts
+++ b/bench/policy/schedule.ts
@@ -1,4 +1,4 @@
-/** Tasks by virtual time; those of one time run in the order in which they were added. */
+/** A scheduler of tasks on virtual time; tasks of the same time run in the order in which they were added. */
 export class Schedule {
   now = 0
   private readonly heap: Array<{ readonly at: number, readonly order: number, readonly task: () => void }> = []
@@ -14,7 +14,7 @@
     }
   }
 
-  /** Runs everything that falls due before `end`. */
+  /** Runs all tasks that are due before `end`, and advances the time to `end`. */
   run (end: number): void {
     while (this.heap.length > 0 && this.heap[0]!.at < end) {
       const next = this.take()
--- a/bench/policy/workload.ts
+++ b/bench/policy/workload.ts
@@ -3,10 +3,10 @@
 /** One online request of a trace. */
 interface OnlineRequest { readonly at: number, readonly promptTokens: number, readonly answerTokens: number }
 
-/** How online requests come: bursts of Poisson arrivals with quiet between them, all means. Times in ms. */
+/** Bursts of Poisson arrivals with pauses between them; `burst`, `quiet` and `between` are means. Times in ms. */
 interface WorkloadOptions { readonly burst: number, readonly quiet: number, readonly between: number, readonly length: number }
 
-/** The online requests of one server. Sizes are uniform: 100 to 700 prompt tokens, 20 to 160 answer tokens. */
+/** Creates the online requests of one server, with 100 to 700 prompt tokens and 20 to 160 answer tokens, uniformly distributed. */
 export function createWorkload (random: Random, { burst, quiet, between, length }: WorkloadOptions): readonly OnlineRequest[] {
   const requests: OnlineRequest[] = []
   let now = 0
@@ -20,7 +20,7 @@
   return requests.filter(({ at }) => at < length)
 }
 
-/** Exponentially distributed. */
+/** Draws from an exponential distribution. */
 function draw (random: Random, mean: number): number {
   return -mean * Math.log(1 - random.next())
 }
--- a/scripts/bundle-machines.mjs
+++ b/scripts/bundle-machines.mjs
@@ -1,11 +1,10 @@
-// Bundles the program that runs on the users' machines into target/, with the code cache that its loader starts from.
+// Bundles the daemon for the users' machines into target/, with the V8 code cache that its loader uses.
 import { build } from 'esbuild'
 import { writeFileSync } from 'node:fs'
 import { resolve } from 'node:path'
 import { createCodeCache } from './create-code-cache.mjs'
 
-/** Whole packages of which the daemon uses one part, and that part: the rest is code that a restarted daemon
- * would load before it serves anybody. */
+/** Replacements of packages by the one module of each that the daemon uses, so that it loads less code when it starts. */
 const parts = {
   undici: 'scripts/undici-core.cjs',
   'node:http2': 'scripts/no-http2.cjs',
--- a/scripts/bundle.mjs
+++ b/scripts/bundle.mjs
@@ -1,4 +1,4 @@
-// Bundles the command line (and, with --binary, the single executable) and the scripts that drive it.
+// Bundles the command line, the demo and the benchmarks; with --binary also builds the single executable.
 import { build } from 'esbuild'
 import { execFileSync } from 'node:child_process'
 import { chmodSync, copyFileSync, mkdirSync, writeFileSync } from 'node:fs'
@@ -12,8 +12,8 @@
   bundle: true,
   platform: 'node',
   target: 'node20',
-  // V8 holds a program's text in its heap for as long as it runs: with maps and comments in it that was 10 MB a daemon.
-  // Names are kept, so that a stack says where it was; `node --enable-source-maps` says the line.
+  // V8 keeps the source text in its heap, so source maps stay in their own files and whitespace is removed. Names are not
+  // minified, so that stack traces stay readable; `node --enable-source-maps` adds the lines.
   sourcemap: 'linked',
   sourcesContent: false,
   minifyWhitespace: true,
@@ -21,14 +21,14 @@
   charset: 'ascii',
   logLevel: 'warning',
   alias: { 'ts-results': resolve('node_modules/ts-results/esm/index.js') },
-  // An optional native speed-up of cbor-x, which works without it; asking for it makes the single binary warn on each run.
+  // cbor-extract is an optional native module of cbor-x; trying to load it makes the single executable print a warning.
   define: { 'process.env.CBOR_NATIVE_ACCELERATION_DISABLED': '"true"' },
   external: ['cbor-extract']
 }
 
 mkdirSync('dist', { recursive: true })
 await build({ ...common, entryPoints: entries, format: 'cjs', outExtension: { '.js': '.cjs' } })
-// What others embed: one module, without the daemon.
+// The coordination library, one module for use in other programs.
 await build({ ...common, minifyWhitespace: false, entryPoints: { coordination: 'src/coordination/index.ts' }, format: 'esm', outExtension: { '.js': '.mjs' } })
 
 if (process.argv.includes('--binary')) buildBinary()
--- a/scripts/create-code-cache.mjs
+++ b/scripts/create-code-cache.mjs
@@ -1,7 +1,7 @@
 import { createRequire } from 'node:module'
 import vm from 'node:vm'
 
-/** V8's code cache of a program, made once its modules have run, so that it holds what they compile as they load. */
+/** Returns V8's code cache of a program. Runs the program first, so that the cache includes functions compiled while its modules load. */
 export function createCodeCache (text, filename) {
   const script = new vm.Script(text, { filename })
   const program = { exports: {} }
--- a/scripts/no-http2.cjs
+++ b/scripts/no-http2.cjs
@@ -1,2 +1,2 @@
-// In place of Node's HTTP/2, which the daemon doesn't speak and would load before it serves anybody; undici does without.
+// Replaces node:http2, which the daemon doesn't use; not loading it makes the daemon start faster. undici works without it.
 throw new Error('HTTP/2 is not in the bundle')
--- a/scripts/run-tests.mjs
+++ b/scripts/run-tests.mjs
@@ -1,4 +1,4 @@
-// Runs the tests. Those whose file KNOWN-RED.txt names run by themselves and are printed, but don't decide.
+// Runs the tests. Test files listed in KNOWN-RED.txt run separately; their failures are printed but don't affect the exit code.
 import { spawnSync } from 'node:child_process'
 import { existsSync, readdirSync, readFileSync } from 'node:fs'
 import { join } from 'node:path'
--- a/scripts/undici-core.cjs
+++ b/scripts/undici-core.cjs
@@ -1,5 +1,4 @@
-// What the daemon uses of undici, in place of the whole package, whose fetch, mocks and caches a restarted daemon would
-// load before it serves anybody.
+// Replaces undici by the part that the daemon uses; not loading its fetch, mocks and caches makes the daemon start faster.
 const Dispatcher = require('../node_modules/undici/lib/dispatcher/dispatcher.js')
 const Agent = require('../node_modules/undici/lib/dispatcher/agent.js')
 const api = require('../node_modules/undici/lib/api/index.js')
--- a/scripts/write-reference.ts
+++ b/scripts/write-reference.ts
@@ -3,7 +3,7 @@
 import { settingsSchema } from '../src/config/settings-schema.js'
 import { writeKeyTable } from '../src/config/write-key-table.js'
 
-// Puts the tables of docs/CONFIGURATION.md anew, in the order in which they stand there, from the schemas.
+// Regenerates the tables of docs/CONFIGURATION.md, in their order on the page, from the schemas.
 const PAGE = 'docs/CONFIGURATION.md'
 const TABLE = /^\| key \|.*\n(?:\|.*(?:\n|$))+/gm
 
