--- a/bench/apply-fault.ts
+++ b/bench/apply-fault.ts
@@ -3,14 +3,14 @@
 import type { Fault } from './fault.js'
 
 /** Time in ms until the platform's instance list no longer has a killed process. */
-const LIST_LAG = 3_000
+const INSTANCE_LIST_LAG = 3_000
 
 /** Applies a fault to the fleet. Returns a function that ends the fault, or does nothing if it is permanent or ends on its own. */
 export async function applyFault (fleet: Fleet, fault: Fault): Promise<() => Promise<void>> {
   const noop = async (): Promise<void> => {}
   const kill = (name: string): void => {
     [...fleet.daemons, ...fleet.servers].find(({ instance }) => instance.name === name)!.child.signal('SIGKILL')
-    setTimeout(() => { void fleet.unregister(name).catch(() => {}) }, LIST_LAG)
+    setTimeout(() => { void fleet.unregister(name).catch(() => {}) }, INSTANCE_LIST_LAG)
   }
   switch (fault.type) {
     case 'engine killed':
--- a/bench/check-bounds.ts
+++ b/bench/check-bounds.ts
@@ -36,19 +36,19 @@
 
 function checkPolicies ({ site, results, idleCapacity, harm }: PolicyReport, bounds: Bounds['policies']): readonly string[] {
   const { batchRate } = results.find(({ letter }) => letter === 'e')!
-  const ours = harm.find(({ letter }) => letter === 'e')!
+  const current = harm.find(({ letter }) => letter === 'e')!
   return [
-    ...checkRatio(`${site}: first token p99 over no batch`, ours.firstTokenP99, bounds.firstTokenP99),
-    ...checkRatio(`${site}: first token p99.9 over no batch`, ours.firstTokenP999, bounds.firstTokenP999),
-    ...checkRatio(`${site}: between tokens p99 over no batch`, ours.betweenTokensP99, bounds.betweenTokensP99),
+    ...checkRatio(`${site}: first token p99 over no batch`, current.firstTokenP99, bounds.firstTokenP99),
+    ...checkRatio(`${site}: first token p99.9 over no batch`, current.firstTokenP999, bounds.firstTokenP999),
+    ...checkRatio(`${site}: between tokens p99 over no batch`, current.betweenTokensP99, bounds.betweenTokensP99),
     ...checkMost(`${site}: idle capacity over batch`, idleCapacity / batchRate, 1 / bounds.batchOverIdle)
   ]
 }
 
 /** Compares the measured value with the bound; the interval only shows whether more repeats could change the verdict. */
-function checkRatio (what: string, { value, low, high }: Ratio, most: number): readonly string[] {
-  const verdict = low > most ? 'beyond chance' : 'within chance: repeat more often'
-  return checkMost(`${what} (95 %: ${low.toFixed(3)} to ${high.toFixed(3)}, ${verdict})`, value, most)
+function checkRatio (what: string, { value, low, high }: Ratio, bound: number): readonly string[] {
+  const verdict = low > bound ? 'beyond chance' : 'within chance: repeat more often'
+  return checkMost(`${what} (95 %: ${low.toFixed(3)} to ${high.toFixed(3)}, ${verdict})`, value, bound)
 }
 
 function checkFault ({ fault, lost, sendsOverRequests }: FaultResult, bounds: Bounds['faults']): readonly string[] {
@@ -58,6 +58,6 @@
   ]
 }
 
-function checkMost (what: string, measured: number, most: number): readonly string[] {
-  return measured <= most ? [] : [`${what}: ${measured.toFixed(3)}, bound ${most.toFixed(3)}`]
+function checkMost (what: string, measured: number, bound: number): readonly string[] {
+  return measured <= bound ? [] : [`${what}: ${measured.toFixed(3)}, bound ${bound.toFixed(3)}`]
 }
--- a/bench/due/due-simulation.ts
+++ b/bench/due/due-simulation.ts
@@ -15,7 +15,7 @@
 const TAKEOVER_TIME = 10_000
 const RETRY_TIME = 1_000
 
-interface Chunk { readonly job: JobState, readonly n: number, left: number }
+interface Chunk { readonly job: JobState, readonly n: number, remaining: number }
 
 interface JobState {
   readonly entry: DueJob
@@ -33,8 +33,8 @@
   since: number
   /** Incremented on each change of plan, so that a scheduled end of a chunk that is out of date is ignored. */
   plan: number
-  readonly use: RecentUsage
-  readonly rest: Map<string, number>
+  readonly recentUsage: RecentUsage
+  readonly remainingTime: Map<string, number>
 }
 
 interface DueOptions {
@@ -58,7 +58,7 @@
   constructor (private readonly options: DueOptions) {
     const { daemons, servers } = options
     this.daemons = Array.from({ length: daemons }, (_, i) => ({
-      servers: Math.floor(servers / daemons) + (i < servers % daemons ? 1 : 0), alive: true, since: 0, plan: 0, use: new RecentUsage(), rest: new Map()
+      servers: Math.floor(servers / daemons) + (i < servers % daemons ? 1 : 0), alive: true, since: 0, plan: 0, recentUsage: new RecentUsage(), remainingTime: new Map()
     }))
   }
 
@@ -80,7 +80,7 @@
 
   private submit (entry: DueJob): void {
     const job: JobState = { entry, free: [], finished: {}, done: 0 }
-    for (let n = 0; n * CHUNK < entry.items; n++) job.free.push({ job, n, left: Math.min(CHUNK, entry.items - n * CHUNK) })
+    for (let n = 0; n * CHUNK < entry.items; n++) job.free.push({ job, n, remaining: Math.min(CHUNK, entry.items - n * CHUNK) })
     this.jobs.push(job)
   }
 
@@ -88,13 +88,13 @@
   private claimChunk (daemon: Daemon): void {
     if (!daemon.alive || daemon.chunk !== undefined) return
     for (const job of this.order(daemon).slice(0, MAX_JOBS_READ)) {
-      daemon.rest.set(job.entry.job, estimateRemainingTime(buildJob(job), this.schedule.now))
+      daemon.remainingTime.set(job.entry.job, estimateRemainingTime(buildJob(job), this.schedule.now))
       const chunk = job.free.shift()
       if (chunk === undefined) continue
       daemon.chunk = chunk
       daemon.since = this.schedule.now
-      daemon.use.add(job.entry.caller, chunk.left, this.schedule.now)
-      daemon.use.add(job.entry.job, chunk.left, this.schedule.now)
+      daemon.recentUsage.add(job.entry.caller, chunk.remaining, this.schedule.now)
+      daemon.recentUsage.add(job.entry.job, chunk.remaining, this.schedule.now)
       return this.planEnd(daemon)
     }
     this.schedule.after(RETRY_TIME, () => this.claimChunk(daemon))
@@ -108,7 +108,7 @@
       switch (this.options.order) {
         case 'first come': return [...entries].sort((a, b) => a.created - b.created)
         case 'earliest due': return [...entries].sort((a, b) => a.due - b.due)
-        case 'ours': return this.orderByRules(daemon, entries, ({ job }) => daemon.rest.get(job) ?? 0)
+        case 'ours': return this.orderByRules(daemon, entries, ({ job }) => daemon.remainingTime.get(job) ?? 0)
         case 'by pace': return this.orderByRules(daemon, entries, ({ job, items }) => (items - byEntry.get(job)!.done) / (this.options.pace * this.countServers()))
         default: return failUnreachable(this.options.order)
       }
@@ -117,7 +117,7 @@
   }
 
   private orderByRules (daemon: Daemon, entries: readonly DueJob[], estimate: Parameters<typeof orderJobs>[1]['estimate']): ReturnType<typeof orderJobs> {
-    return orderJobs(entries, { date: this.schedule.now, share: () => 1, used: name => daemon.use.get(name, this.schedule.now), estimate })
+    return orderJobs(entries, { date: this.schedule.now, share: () => 1, used: name => daemon.recentUsage.get(name, this.schedule.now), estimate })
   }
 
   private countServers (): number {
@@ -127,7 +127,7 @@
   private planEnd (daemon: Daemon): void {
     const plan = ++daemon.plan
     if (daemon.servers === 0) return
-    this.schedule.after(daemon.chunk!.left / (this.options.pace * daemon.servers), () => { if (daemon.plan === plan) this.finish(daemon) })
+    this.schedule.after(daemon.chunk!.remaining / (this.options.pace * daemon.servers), () => { if (daemon.plan === plan) this.finish(daemon) })
   }
 
   private finish (daemon: Daemon): void {
@@ -143,8 +143,8 @@
     const { now } = this.schedule
     const chunk = daemon.chunk
     if (chunk !== undefined) {
-      const done = Math.min(chunk.left, (now - daemon.since) * this.options.pace * daemon.servers)
-      chunk.left -= done
+      const done = Math.min(chunk.remaining, (now - daemon.since) * this.options.pace * daemon.servers)
+      chunk.remaining -= done
       chunk.job.done += done
     }
     daemon.since = now
--- a/bench/estimate-ratio.ts
+++ b/bench/estimate-ratio.ts
@@ -17,9 +17,9 @@
  */
 export function estimateRatio (samples: readonly OnlineSample[], base: readonly OnlineSample[], options: RatioOptions): Ratio {
   const blocks = [...new Set([...samples, ...base].map(({ block }) => block))]
-  const [ours, theirs] = [rankValues(samples, blocks, options), rankValues(base, blocks, options)]
+  const [values, baseValues] = [rankValues(samples, blocks, options), rankValues(base, blocks, options)]
   const random = new Random(SEED)
-  const readRatio = (weights: readonly number[]): number => readQuantile(ours, weights, options.quantile) / readQuantile(theirs, weights, options.quantile)
+  const readRatio = (weights: readonly number[]): number => readQuantile(values, weights, options.quantile) / readQuantile(baseValues, weights, options.quantile)
   const ratios = Array.from({ length: RESAMPLES }, () => readRatio(drawWeights(blocks.length, random))).sort((a, b) => a - b)
   return { value: readRatio(blocks.map(() => 1)), low: ratios[Math.floor(TAIL * RESAMPLES)]!, high: ratios[Math.ceil((1 - TAIL) * RESAMPLES) - 1]! }
 }
--- a/bench/export-model.ts
+++ b/bench/export-model.ts
@@ -11,7 +11,7 @@
 /** Export times in ms: only a round trip to the engine, and one in which it also copies the blocks out. */
 const VARIANTS = [{}, { exportTime: 1 }, { exportTime: 10 }, { elsewhere: true }, { elsewhere: true, exportTime: 1 }] as const
 
-const read = (values: readonly number[], quantile: number): number => Float64Array.from(values).sort()[Math.floor(quantile * values.length)]!
+const readQuantile = (values: readonly number[], quantile: number): number => Float64Array.from(values).sort()[Math.floor(quantile * values.length)]!
 
 // Compares the cost of preemption with and without export of KV cache, when online prompts evict the blocks of preempted items.
 for (const site of sites) {
@@ -23,14 +23,14 @@
         const { exportTime, elsewhere = false }: { readonly exportTime?: number, readonly elsewhere?: boolean } = variant
         const runs = SEEDS.map(seed => runSite(site, { type: 'preempting' }, { length: LENGTH, seed, itemPrompt, memoryTokens, exportTime, elsewhere }))
         const add = (pick: 'batchTokens' | 'resumes' | 'prefilledAgain' | 'preemptions'): number => runs.reduce((sum, run) => sum + run[pick], 0)
-        const tail = (quantile: number): string => (read(runs.flatMap(run => run.firstToken), quantile) / read(base.flatMap(run => run.firstToken), quantile)).toFixed(3)
+        const showTail = (quantile: number): string => (readQuantile(runs.flatMap(run => run.firstToken), quantile) / readQuantile(base.flatMap(run => run.firstToken), quantile)).toFixed(3)
         const cost = exportTime === undefined ? engineOptions.prefillPerToken : defaultParameters.importPerToken
         console.log([
           site.name, `items of ${itemPrompt}`, `memory ${memoryTokens}`, `${exportTime === undefined ? 'resume only' : `export ${exportTime} ms`}${elsewhere ? ', at another server' : ''}`,
           `batch ${(add('batchTokens') / LENGTH / SEEDS.length * 1_000).toFixed(0)} tokens/s`,
           `${add('resumes')} resumes`, `${(add('prefilledAgain') / add('resumes')).toFixed(0)} tokens again each`,
           `${(100 * add('prefilledAgain') * cost / LENGTH / SEEDS.length).toFixed(2)} % of the time`,
-          `first token p99 ${tail(0.99)} p99.9 ${tail(0.999)}`
+          `first token p99 ${showTail(0.99)} p99.9 ${showTail(0.999)}`
         ].join(', '))
       }
     }
--- a/bench/hunt/apply-trouble.ts
+++ b/bench/hunt/apply-trouble.ts
@@ -7,7 +7,7 @@
 import type { Trouble } from './trouble.js'
 
 /** Time in ms until the platform's instance list no longer has a killed process. */
-const LIST_LAG = 2_000
+const INSTANCE_LIST_LAG = 2_000
 const CUT_AFTER_TOKENS = 5
 
 type Node = Fleet['daemons'][number]
@@ -48,7 +48,7 @@
   const { child } = findNode([...fleet.daemons, ...fleet.servers], name)
   child.signal('SIGKILL')
   await child.waitForExit()
-  await pause(LIST_LAG)
+  await pause(INSTANCE_LIST_LAG)
   await fleet.unregister(name)
 }
 
--- a/bench/hunt/hunt-fleet.ts
+++ b/bench/hunt/hunt-fleet.ts
@@ -7,17 +7,17 @@
 import { readRunFiles } from './read-run-files.js'
 
 /** Regions and domains, assigned in turn to the processes of each kind. */
-const ONE_REGION: readonly Place[] = ['a', 'b', 'c'].map(letter => ({ region: 'region-1', domain: `domain-${letter}` }))
-const TWO_REGIONS: readonly Place[] = ['a', 'c', 'b', 'd'].map((letter, n) => ({ region: `region-${n % 2 + 1}`, domain: `domain-${letter}` }))
+const ONE_REGION: readonly Location[] = ['a', 'b', 'c'].map(letter => ({ region: 'region-1', domain: `domain-${letter}` }))
+const TWO_REGIONS: readonly Location[] = ['a', 'c', 'b', 'd'].map((letter, n) => ({ region: `region-${n % 2 + 1}`, domain: `domain-${letter}` }))
 const FOLDER = 'demo/folder'
 /** Steps that are long enough to have items and answers in flight when a trouble begins. */
 const ENGINE = { stepBase: 8, stepPerSequence: 0.3 }
 
-interface Place { readonly region: string, readonly domain: string }
+interface Location { readonly region: string, readonly domain: string }
 
 /** A fleet whose servers record their runs in files, which remain when a server is killed. */
 export class HuntFleet {
-  private constructor (readonly fleet: Fleet, private readonly folder: string, private readonly places: readonly Place[]) {}
+  private constructor (readonly fleet: Fleet, private readonly folder: string, private readonly locations: readonly Location[]) {}
 
   /** Starts a fleet in one region, or with `canPartition` in two regions whose daemons can be partitioned. */
   static async start (deadline: number, { canPartition = false } = {}): Promise<HuntFleet> {
@@ -34,7 +34,7 @@
   }
 
   async addDaemon (n: number): Promise<void> {
-    const { region, domain } = this.choosePlace(n)
+    const { region, domain } = this.chooseLocation(n)
     await this.fleet.addDaemon(`entry-${n}`, domain, { region, log: { level: 'error', format: 'text' } })
   }
 
@@ -50,12 +50,12 @@
   }
 
   private async addServer (name: string, n: number, pool: string, kind: 'engine' | 'service'): Promise<void> {
-    const { region, domain } = this.choosePlace(n)
+    const { region, domain } = this.chooseLocation(n)
     const runFile = join(this.folder, name)
     await this.fleet.addServer(name, domain, { pool, kind, region, options: kind === 'engine' ? { ...ENGINE, runFile, runMark: name } : { runFile } })
   }
 
-  private choosePlace (n: number): Place {
-    return this.places[n % this.places.length]!
+  private chooseLocation (n: number): Location {
+    return this.locations[n % this.locations.length]!
   }
 }
--- a/bench/hunt/run-hunt.ts
+++ b/bench/hunt/run-hunt.ts
@@ -78,15 +78,15 @@
 
 /** Sends requests of each kind in turn at a constant rate until `end`, and waits for all of them. */
 async function ask (caller: HuntCaller, now: () => number, end: number): Promise<void> {
-  const asked: Promise<boolean>[] = []
+  const sent: Promise<boolean>[] = []
   for (let n = 0; now() < end; n++) {
     const kind = KINDS[n % KINDS.length]!
-    asked.push(caller.ask(kind, n))
+    sent.push(caller.ask(kind, n))
     // Each booking is sent twice concurrently with the same idempotency key.
-    if (kind === 'booking') asked.push(caller.ask(kind, n))
+    if (kind === 'booking') sent.push(caller.ask(kind, n))
     await new Promise(resolve => setTimeout(resolve, REQUEST_PERIOD))
   }
-  await Promise.all(asked)
+  await Promise.all(sent)
 }
 
 async function checkRecovery (caller: HuntCaller): Promise<readonly string[]> {
--- a/bench/policy/policy-simulation.ts
+++ b/bench/policy/policy-simulation.ts
@@ -33,11 +33,11 @@
   private reportedOnline = 0
   private idleSince = 0
   private items = 0
-  private asked = 0
+  private requests = 0
   private readonly backlog: BatchItem[] = []
   private readonly streams = new Map<string, { readonly item: BatchItem, readonly sequence: Sequence }>()
   private readonly gaps: number[] = []
-  private report = 0
+  private lastReport = 0
 
   constructor (private readonly options: SimulationOptions) {
     this.batcher = new Batcher(options.engine)
@@ -50,8 +50,8 @@
     for (const request of this.options.workload) this.schedule.after(request.at, () => this.arrive(request.promptTokens, request.answerTokens))
     this.repeat(TICK, () => this.tick())
     this.repeat(REPORT_PERIOD, () => {
-      this.applyEvent({ type: 'reported', sequences: this.report })
-      this.report = this.batcher.running.length + this.batcher.waiting.length
+      this.applyEvent({ type: 'reported', sequences: this.lastReport })
+      this.lastReport = this.batcher.running.length + this.batcher.waiting.length
     })
     this.schedule.run(this.options.length)
     if (this.online === 0) this.run.idle += this.schedule.now - this.idleSince
@@ -75,13 +75,13 @@
   }
 
   private arrive (promptTokens: number, answerTokens: number): void {
-    const asked = this.schedule.now
-    if (this.online++ === 0) this.run.idle += asked - this.idleSince
+    const arrivedAt = this.schedule.now
+    if (this.online++ === 0) this.run.idle += arrivedAt - this.idleSince
     this.schedule.after(COALESCE + HOP + this.notificationDelay, () => this.reportOnline())
-    let last = asked
-    const sequence = createSequence({ contextTokens: promptTokens, words: new Array(answerTokens).fill('w'), blocks: listBlocks(-(++this.asked), promptTokens + answerTokens, this.options.engine) }, (first, end) => {
+    let last = arrivedAt
+    const sequence = createSequence({ contextTokens: promptTokens, words: new Array(answerTokens).fill('w'), blocks: listBlocks(-(++this.requests), promptTokens + answerTokens, this.options.engine) }, (first, end) => {
       const now = this.schedule.now
-      if (first) this.run.firstToken.push(now + HOP - asked)
+      if (first) this.run.firstToken.push(now + HOP - arrivedAt)
       else this.run.betweenTokens.push(now - last)
       last = now
       if (end) this.schedule.after(HOP, () => this.leave())
--- a/bench/read-idle-share.ts
+++ b/bench/read-idle-share.ts
@@ -7,11 +7,11 @@
     .filter(([from, to]) => to > from)
     .sort((a, b) => a[0] - b[0])
   let busy = 0
-  let reached = since
+  let busyUntil = since
   for (const [from, to] of spans) {
-    if (to <= reached) continue
-    busy += to - Math.max(from, reached)
-    reached = to
+    if (to <= busyUntil) continue
+    busy += to - Math.max(from, busyUntil)
+    busyUntil = to
   }
   return 1 - busy / (until - since)
 }
--- a/bench/soak/soak-callers.ts
+++ b/bench/soak/soak-callers.ts
@@ -20,12 +20,12 @@
 
   /** Sends requests at a constant rate until `end`, and waits for all responses. */
   async sendAll (end: number): Promise<void> {
-    const asked: Array<Promise<void>> = []
+    const sent: Array<Promise<void>> = []
     for (let n = 0; this.soak.now() < end; n++) {
-      asked.push(this.send(n))
+      sent.push(this.send(n))
       await new Promise(resolve => setTimeout(resolve, soakSize.requestPeriod))
     }
-    await Promise.all(asked)
+    await Promise.all(sent)
   }
 
   async close (): Promise<void> {
--- a/bench/summarize-idle.ts
+++ b/bench/summarize-idle.ts
@@ -70,12 +70,12 @@
 
 function listIdleSpans (runs: readonly RunRecord[], since: number, until: number): ReadonlyArray<readonly [number, number]> {
   const spans: Array<readonly [number, number]> = []
-  let reached = since
+  let busyUntil = since
   for (const { at, endedAt = until } of runs.filter(isOnline).sort((a, b) => a.at - b.at)) {
-    if (at > reached) spans.push([reached, Math.min(at, until)])
-    reached = Math.max(reached, endedAt)
+    if (at > busyUntil) spans.push([busyUntil, Math.min(at, until)])
+    busyUntil = Math.max(busyUntil, endedAt)
   }
-  return reached < until ? [...spans, [reached, until]] : spans
+  return busyUntil < until ? [...spans, [busyUntil, until]] : spans
 }
 
 function countTokens ({ firstTokenAt, endedAt, tokens = 0 }: RunRecord, spans: ReadonlyArray<readonly [number, number]>, until: number): number {
--- a/scripts/bundle-machines.mjs
+++ b/scripts/bundle-machines.mjs
@@ -5,14 +5,14 @@
 import { createCodeCache } from './create-code-cache.mjs'
 
 /** Replacements of packages by the one module of each that the daemon uses, so that it loads less code when it starts. */
-const parts = {
+const replacements = {
   undici: 'scripts/undici-core.cjs',
   'node:http2': 'scripts/no-http2.cjs',
   'hdr-histogram-js': 'node_modules/hdr-histogram-js/dist/HistogramBuilder.js'
 }
-const useParts = {
+const replaceModules = {
   name: 'use parts',
-  setup: ({ onResolve }) => onResolve({ filter: /^(undici|node:http2|hdr-histogram-js)$/ }, ({ path }) => ({ path: resolve(parts[path]) }))
+  setup: ({ onResolve }) => onResolve({ filter: /^(undici|node:http2|hdr-histogram-js)$/ }, ({ path }) => ({ path: resolve(replacements[path]) }))
 }
 
 const { outputFiles: [bundle] } = await build({
@@ -30,7 +30,7 @@
   alias: { 'ts-results': resolve('node_modules/ts-results/esm/index.js') },
   define: { 'process.env.CBOR_NATIVE_ACCELERATION_DISABLED': '"true"' },
   external: ['cbor-extract'],
-  plugins: [useParts]
+  plugins: [replaceModules]
 })
 const program = `(function (require, module, exports) {${bundle.text}\n})`
 await build({ entryPoints: ['platform/load.cjs'], outfile: 'target/citronwheel.cjs', format: 'cjs', platform: 'node', target: 'node20' })
