--- a/bench/hunt/plan-troubles.ts
+++ b/bench/hunt/plan-troubles.ts
@@ -18,7 +18,7 @@
   { delayedWrites: { share: 0.3, delay: 1_500 } }, { oldReads: { share: 0.5, lag: 1_500 } }, { silentWatches: true }, { instanceLag: 5_000 }
 ]
 /** Limit on the daemons, and on the engines, that troubles of one hunt affect; half of each remain unaffected. */
-const MAX_LOST = { daemon: 2, engine: 2 }
+const MAX_AFFECTED = { daemon: 2, engine: 2 }
 
 /** Returns the troubles of a seed in order of time. The same seed always gives the same troubles. */
 export function planTroubles (seed: number): readonly Trouble[] {
@@ -61,6 +61,6 @@
     ('service' in trouble && 'service' in other && trouble.service === other.service) ||
     (trouble.type === other.type && (trouble.type === 'platform' || trouble.type === 'regions parted'))
   return !planned.some(isConflicting) &&
-    planned.filter(other => 'daemon' in other).length < ('daemon' in trouble ? MAX_LOST.daemon : Infinity) &&
-    planned.filter(other => 'engine' in other).length < ('engine' in trouble ? MAX_LOST.engine : Infinity)
+    planned.filter(other => 'daemon' in other).length < ('daemon' in trouble ? MAX_AFFECTED.daemon : Infinity) &&
+    planned.filter(other => 'engine' in other).length < ('engine' in trouble ? MAX_AFFECTED.engine : Infinity)
 }
--- a/bench/policy-suite.ts
+++ b/bench/policy-suite.ts
@@ -40,7 +40,7 @@
   const byLetter = [...new Set(runs.map(({ letter }) => letter))].map(wanted => runs.filter(({ letter }) => letter === wanted))
   const results = byLetter.map(mergeResults)
   const noBatch = results.find(({ letter }) => letter === 'a')!
-  const samples = (chosen: string): readonly OnlineSample[] => runs.filter(({ letter }) => letter === chosen).flatMap(({ outcomes }, repeat) => listSamples(outcomes, repeat))
+  const samples = (wanted: string): readonly OnlineSample[] => runs.filter(({ letter }) => letter === wanted).flatMap(({ outcomes }, repeat) => listSamples(outcomes, repeat))
   const base = samples('a')
   return {
     site: site.name,
--- a/bench/soak/check-record.ts
+++ b/bench/soak/check-record.ts
@@ -27,7 +27,7 @@
 }
 
 function isDisturbed ({ harmed }: SoakRecord, daemon: number | undefined, from: number, to: number): boolean {
-  return harmed.some(harm => (harm.daemon === undefined || harm.daemon === daemon) && harm.from <= to && harm.to >= from)
+  return harmed.some(disturbance => (disturbance.daemon === undefined || disturbance.daemon === daemon) && disturbance.from <= to && disturbance.to >= from)
 }
 
 function checkRequest (request: SentRequest, runs: Runs, record: SoakRecord): readonly string[] {
@@ -56,7 +56,7 @@
 /** Checks that an answer was cut only where its server failed, or where its daemon or the store was disturbed. */
 function checkCutAnswer ({ id, path, outcome, text, daemon, at, until }: SentRequest, runs: Runs, record: SoakRecord): readonly string[] {
   if (outcome !== 'cut' || runs.length === 0) return []
-  const disturbances = record.harmed.filter(harm => harm.daemon === daemon && harm.from <= until && harm.to >= at)
+  const disturbances = record.harmed.filter(disturbance => disturbance.daemon === daemon && disturbance.from <= until && disturbance.to >= at)
   const cutByServer = runs.some(({ events }) => events < soakSize.events)
   return disturbances.length > 0 || cutByServer || isDisturbed(record, undefined, at, until) ? [] : [`${id} ${path} at daemon ${daemon}: was cut at ${until} ms after ${text.length} bytes, though its server sent all`]
 }
