--- a/demo/batch-plan.ts
+++ b/demo/batch-plan.ts
@@ -2,7 +2,7 @@
 export const batchPlan = {
   tokens: 40,
   impossible: [7, 123, 499] as readonly number[],
-  writePrompt (n: number): string {
+  createPrompt (n: number): string {
     return this.impossible.includes(n) ? `[impossible] draft ${n}` : `Draft an itinerary to Penghu for group ${n}`
   }
 }
--- a/demo/caller.ts
+++ b/demo/caller.ts
@@ -12,12 +12,12 @@
  */
 export class Caller {
   /** Answers heard, of any status. */
-  heard = 0
+  answerCount = 0
   private addresses: readonly string[] = []
   private keptUntil = 0
   private turn = 0
 
-  constructor (private readonly known: readonly string[], readonly name: string) {}
+  constructor (private readonly entryUrls: readonly string[], readonly name: string) {}
 
   async send (method: 'GET' | 'POST', path: string, body?: unknown, headers: Readonly<Record<string, string>> = {}): Promise<FinalAnswer> {
     let last: FinalAnswer = { status: 0, text: 'never sent', sends: 0 }
@@ -30,7 +30,7 @@
           body: body === undefined ? null : JSON.stringify(body)
         })
         last = { status: response.statusCode, text: await response.body.text(), sends }
-        this.heard++
+        this.answerCount++
         if (response.statusCode < 500 && response.statusCode !== 429 && response.statusCode !== 409) return last
         await this.pause(Number(response.headers['retry-after'] ?? 0) * MS_PER_SECOND)
       } catch (error) {
@@ -42,12 +42,12 @@
   }
 
   private async chooseAddress (): Promise<string> {
-    if (Date.now() > this.keptUntil) await this.askAddresses()
+    if (Date.now() > this.keptUntil) await this.refreshAddresses()
     return this.addresses[this.turn++ % this.addresses.length]!
   }
 
-  private async askAddresses (): Promise<void> {
-    for (const url of this.known) {
+  private async refreshAddresses (): Promise<void> {
+    for (const url of this.entryUrls) {
       try {
         const response = await request(`${url}/v1/addresses`, { headers: { authorization: `Bearer ${this.name}-token` } })
         const { addresses, keep } = await response.body.json() as { addresses: { url: string }[], keep: number }
--- a/demo/check-batch-work.ts
+++ b/demo/check-batch-work.ts
@@ -14,7 +14,7 @@
   const failed = errors.map(line => line.custom_id).sort()
   checks.expect(String(failed) === String(batchPlan.impossible.map(n => `draft-${n}`).sort()), 'only the three impossible items failed, each with its cause', errors.map(line => line.error.code).join(', '))
   const wrong = output.filter(line => {
-    return line.response.body.choices[0].message.content !== createAnswerWords(batchPlan.writePrompt(Number(line.custom_id.slice(6))), batchPlan.tokens).join(' ')
+    return line.response.body.choices[0].message.content !== createAnswerWords(batchPlan.createPrompt(Number(line.custom_id.slice(6))), batchPlan.tokens).join(' ')
   })
   checks.expect(wrong.length === 0, 'each result is its own item\'s, whole', wrong.slice(0, 2).map(line => JSON.stringify(line)).join(' '))
   const again = await readLines(caller, `${job}.output`)
--- a/demo/main.ts
+++ b/demo/main.ts
@@ -30,11 +30,11 @@
 
 /** Online and batch work at once; a daemon and an engine are killed while both run. */
 async function runWork (fleet: Fleet, checks: Checks): Promise<string> {
-  const known = fleet.daemons.map(daemon => fleet.url(daemon))
-  const callers = ['quay-desk', 'night-desk', 'school-kitchen'].map(name => new Caller(known, name))
+  const entryUrls = fleet.daemons.map(daemon => fleet.url(daemon))
+  const callers = ['quay-desk', 'night-desk', 'school-kitchen'].map(name => new Caller(entryUrls, name))
   const job = await submitBatchWork(fleet, ITEMS)
   await runOnlineWork(callers, ONLINE_REQUESTS / 4, checks)
-  tell(`kills ${KILLED_DAEMON} and engine-1`)
+  showProgress(`kills ${KILLED_DAEMON} and engine-1`)
   await fleet.kill(KILLED_DAEMON)
   await fleet.kill('engine-1')
   const { bookings } = await runOnlineWork(callers, ONLINE_REQUESTS, checks)
@@ -43,8 +43,8 @@
   const twice = bookings.filter(({ slot }) => runs.filter(({ body }) => body === JSON.stringify({ slot })).length > 1)
   checks.expect(twice.length === 0, `${bookings.length} bookings sent twice ran at most once each`, twice.map(({ slot, answers }) => `${slot}: ${answers.join(' | ')}`).slice(0, 2).join('; '))
   const answered = bookings.filter(({ answers }) => answers.some(answer => answer.startsWith('200')))
-  const unheard = answered.filter(({ slot }) => !runs.some(({ body }) => body === JSON.stringify({ slot })))
-  checks.expect(unheard.length === 0 && answered.length > 0, 'each booking that was confirmed did run', `${answered.length} of ${bookings.length} confirmed`)
+  const unlogged = answered.filter(({ slot }) => !runs.some(({ body }) => body === JSON.stringify({ slot })))
+  checks.expect(unlogged.length === 0 && answered.length > 0, 'each booking that was confirmed did run', `${answered.length} of ${bookings.length} confirmed`)
   return job
 }
 
@@ -81,14 +81,14 @@
   console.log(showTimeline([...events.slice(0, 5), ...events.slice(-5)]))
 }
 
-function tell (sentence: string): void {
+function showProgress (sentence: string): void {
   console.log(`demo: ${sentence}`)
 }
 
 async function runDemo (): Promise<number> {
   const start = Date.now()
   const checks = new Checks()
-  tell(`starts a platform, ${ENGINES} engines, 2 services and ${DAEMONS} daemons`)
+  showProgress(`starts a platform, ${ENGINES} engines, 2 services and ${DAEMONS} daemons`)
   const fleet = await startFleet()
   // Ctrl-C ends what was started, too.
   process.once('SIGINT', () => { void fleet.stop().then(() => process.exit(130)) })
@@ -100,7 +100,7 @@
     await fleet.stop()
   }
   console.log(`\n${checks.show()}`)
-  tell(`${checks.allHold ? 'every check holds' : 'some checks FAILED'}, ${((Date.now() - start) / 1_000).toFixed(1)} s`)
+  showProgress(`${checks.allHold ? 'every check holds' : 'some checks FAILED'}, ${((Date.now() - start) / 1_000).toFixed(1)} s`)
   return checks.allHold ? 0 : 1
 }
 
--- a/demo/submit-batch-work.ts
+++ b/demo/submit-batch-work.ts
@@ -9,7 +9,7 @@
     custom_id: `draft-${n}`,
     method: 'POST',
     url: '/v1/chat/completions',
-    body: { model: 'berth-assistant', max_tokens: batchPlan.tokens, messages: [{ role: 'user', content: batchPlan.writePrompt(n) }] }
+    body: { model: 'berth-assistant', max_tokens: batchPlan.tokens, messages: [{ role: 'user', content: batchPlan.createPrompt(n) }] }
   })))
   return (await client.submit(file, 'nightly-drafts')).id
 }
--- a/harness/child.ts
+++ b/harness/child.ts
@@ -16,8 +16,8 @@
   private readonly process: ChildProcess
   private readonly exit: Promise<number>
 
-  private constructor ([program, ...words]: readonly string[], env: Readonly<Record<string, string>>) {
-    this.process = spawn(program!, words, { stdio: ['ignore', 'pipe', 'pipe'], env: { ...process.env, ...env } })
+  private constructor ([program, ...args]: readonly string[], env: Readonly<Record<string, string>>) {
+    this.process = spawn(program!, args, { stdio: ['ignore', 'pipe', 'pipe'], env: { ...process.env, ...env } })
     running.add(this.process)
     this.process.stderr!.on('data', text => { this.errors += text })
     this.exit = once(this.process, 'exit').then(([code, signal]) => {
--- a/harness/fleet.ts
+++ b/harness/fleet.ts
@@ -19,9 +19,9 @@
 /** Polls before a wait is given up: 20 s of pauses, and longer where the machine is so busy that the polls take long. */
 const MAX_POLLS = 1_000
 /** A wait ends before the test runner gives up and says less, ms. */
-const LONGEST_WAIT = 75_000
+const MAX_WAIT = 75_000
 /** A daemon that doesn't tell its events in this time is left out, ms. */
-const TRACE_TIMEOUT = 2_000
+const TIMELINE_TIMEOUT = 2_000
 /** Events that a wait that failed shows of the fleet's time line. */
 const SHOWN_EVENTS = 60
 
@@ -41,17 +41,17 @@
   readonly operatorToken = OPERATOR_TOKEN
   readonly daemons: Node[] = []
   readonly servers: Node[] = []
-  private readonly parting: RegionPartition | undefined
+  private readonly partition: RegionPartition | undefined
   private platform!: { readonly child: Child, readonly url: string }
   private readonly folder = mkdtempSync(join(tmpdir(), 'citronwheel-'))
 
-  private constructor (canPart: boolean) {
-    this.parting = canPart ? new RegionPartition() : undefined
+  private constructor (canPartition: boolean) {
+    this.partition = canPartition ? new RegionPartition() : undefined
   }
 
   /** Starts the platform only; daemons and servers are added to it. */
-  static async start ({ platform = {}, canPartition: canPart = false }: FleetOptions = {}): Promise<Fleet> {
-    const fleet = new Fleet(canPart)
+  static async start ({ platform = {}, canPartition = false }: FleetOptions = {}): Promise<Fleet> {
+    const fleet = new Fleet(canPartition)
     const { child, ready } = await Child.start<{ listening: number }>(['stand-in', 'platform', '--options', JSON.stringify(platform)])
     fleet.platform = { child, url: `http://${HOST}:${ready.listening}` }
     return fleet
@@ -85,34 +85,34 @@
   }
 
   /** `more` are settings beside those that every daemon of a trial has. */
-  async addDaemon (name: string, failureDomain: string, more: Readonly<Record<string, unknown>> & { readonly region?: string } = {}): Promise<Node> {
-    const { region = REGION } = more
+  async addDaemon (name: string, failureDomain: string, overrides: Readonly<Record<string, unknown>> & { readonly region?: string } = {}): Promise<Node> {
+    const { region = REGION } = overrides
     const file = join(this.folder, `${name}.yaml`)
     writeFileSync(file, JSON.stringify({
       instance: name,
       failureDomain,
       region,
       listen: { host: HOST, port: 0, peerPort: 0 },
-      ...this.parting !== undefined && { address: this.parting.host },
+      ...this.partition !== undefined && { address: this.partition.host },
       platform: this.platform.url,
       peerKey: 'key-of-the-trial',
       operatorToken: OPERATOR_TOKEN,
       log: { level: 'info', format: 'text' },
-      ...more
+      ...overrides
     }))
     const { child, ready } = await Child.start<{ listening: number, peerPort: number }>(['serve', '--settings', file])
     const { listening: port, peerPort } = ready
     await this.relay(child, { name, region, port, peerPort })
-    const node: Node = { child, instance: { name, pool: 'entry', host: this.parting?.host ?? HOST, port, peerPort, failureDomain, region, state: 'live' } }
+    const node: Node = { child, instance: { name, pool: 'entry', host: this.partition?.host ?? HOST, port, peerPort, failureDomain, region, state: 'live' } }
     this.daemons.push(node)
     await this.register(node.instance)
     return node
   }
 
   /** Makes the links between daemons of different regions silent, or ends that. */
-  setPartitioned (parted: boolean): void {
-    if (this.parting === undefined) throw new Error('this fleet was not started with canPart')
-    this.parting.setPartitioned(parted)
+  setPartitioned (isPartitioned: boolean): void {
+    if (this.partition === undefined) throw new Error('this fleet was not started with canPart')
+    this.partition.setPartitioned(isPartitioned)
   }
 
   /** Kills a process outright and, as the platform would in time, takes it off the instance list. */
@@ -212,7 +212,7 @@
     const start = Date.now()
     for (let polls = 0; !await condition(); polls++) {
       const time = Date.now() - start
-      if (polls > MAX_POLLS || time > LONGEST_WAIT) throw new Error(`not reached in ${polls} polls, ${time} ms: ${condition.toString()}\n${await this.showTimeline()}`)
+      if (polls > MAX_POLLS || time > MAX_WAIT) throw new Error(`not reached in ${polls} polls, ${time} ms: ${condition.toString()}\n${await this.showTimeline()}`)
       await new Promise(resolve => setTimeout(resolve, POLL_PERIOD))
     }
   }
@@ -221,22 +221,22 @@
   private async showTimeline (): Promise<string> {
     const timelines = await Promise.all(this.daemons.map(async daemon => {
       const answer = this.operator('GET', daemon, '/operator/timeline').catch(() => undefined)
-      return await Promise.race([answer, new Promise<void>(resolve => { setTimeout(resolve, TRACE_TIMEOUT) })])
+      return await Promise.race([answer, new Promise<void>(resolve => { setTimeout(resolve, TIMELINE_TIMEOUT) })])
     }))
     return showTimeline(mergeTimelines(timelines.map(answer => answer?.events ?? [])).slice(-SHOWN_EVENTS))
   }
 
   async stop (): Promise<void> {
     const children = [...this.daemons, ...this.servers].map(({ child }) => child).concat(this.platform.child)
-    this.parting?.close()
+    this.partition?.close()
     for (const child of children) child.signal('SIGKILL')
     await Promise.all(children.map(async child => await child.waitForExit()))
     rmSync(this.folder, { recursive: true, force: true })
   }
 
   private async relay (child: Child, daemon: Parameters<RegionPartition['add']>[0]): Promise<void> {
-    await this.parting?.add(daemon)
-    void child.waitForExit().then(() => this.parting?.remove(daemon.name))
+    await this.partition?.add(daemon)
+    void child.waitForExit().then(() => this.partition?.remove(daemon.name))
   }
 
   private async call (method: 'GET' | 'PUT' | 'POST' | 'DELETE', url: string, body?: unknown, headers: Record<string, string> = {}): Promise<any> {
--- a/harness/machines-fleet.ts
+++ b/harness/machines-fleet.ts
@@ -6,15 +6,15 @@
 import { listen } from '../src/http/listen.js'
 import { EventEngine } from '../stand-ins/machines/event-engine.js'
 import { ObjectApi } from '../stand-ins/machines/object-api.js'
-import { askAddresses } from '../stand-ins/machines/ask-addresses.js'
+import { listAddresses } from '../stand-ins/machines/list-addresses.js'
 import type { DaemonPorts } from '../stand-ins/machines/daemon-ports.js'
 import { registerEngine } from '../stand-ins/machines/register-engine.js'
-import { writeSettings } from '../stand-ins/machines/write-settings.js'
+import { formatSettings } from '../stand-ins/machines/format-settings.js'
 import { Child } from './child.js'
 
 const PROGRAM = [process.execPath, 'target/citronwheel.cjs']
-const WAIT = 20_000
-const LOOK = 20
+const WAIT_TIMEOUT = 20_000
+const POLL_PERIOD = 20
 const FIRST_PORT = 12_000
 const LAST_PORT = 32_000
 
@@ -24,10 +24,10 @@
   readonly settings: string
   child?: Child
   /** What holds its ports until its first start. */
-  held: readonly HeldPort[]
+  reservedPorts: readonly ReservedPort[]
 }
 
-interface HeldPort { readonly port: number, readonly server: Server }
+interface ReservedPort { readonly port: number, readonly server: Server }
 
 /** Ways other than straight ones: HOST:PORT at which a daemon finds the store, and at which all find an engine. */
 interface MachinesFleetOptions {
@@ -43,8 +43,8 @@
   private readonly folder = mkdtempSync(join(tmpdir(), 'citronwheel-'))
   private readonly options: Required<MachinesFleetOptions>
 
-  constructor ({ resolveStoreAddress: findStore = async (_daemon, port) => `127.0.0.1:${port}`, resolveEngineAddress: findEngine = async ({ port }) => `127.0.0.1:${port}` }: MachinesFleetOptions = {}) {
-    this.options = { resolveStoreAddress: findStore, resolveEngineAddress: findEngine }
+  constructor ({ resolveStoreAddress = async (_daemon, port) => `127.0.0.1:${port}`, resolveEngineAddress = async ({ port }) => `127.0.0.1:${port}` }: MachinesFleetOptions = {}) {
+    this.options = { resolveStoreAddress, resolveEngineAddress }
   }
 
   async start ({ daemons, engines }: { readonly daemons: number, readonly engines: readonly EventEngine[] }): Promise<void> {
@@ -55,9 +55,9 @@
   }
 
   async stop (): Promise<void> {
-    for (const { child, held } of this.daemons) {
+    for (const { child, reservedPorts } of this.daemons) {
       child?.signal('SIGKILL')
-      for (const { server } of held) server.close()
+      for (const { server } of reservedPorts) server.close()
     }
     await Promise.all(this.daemons.map(async ({ child }) => await child?.waitForExit()))
     for (const engine of this.engines) engine.stop()
@@ -67,8 +67,8 @@
 
   /** Starts the process and waits until it is ready. */
   async startDaemon (daemon: FleetDaemon): Promise<void> {
-    await Promise.all(daemon.held.map(async ({ server }) => await new Promise<void>(resolve => { server.close(() => resolve()) })))
-    daemon.held = []
+    await Promise.all(daemon.reservedPorts.map(async ({ server }) => await new Promise<void>(resolve => { server.close(() => resolve()) })))
+    daemon.reservedPorts = []
     const { child } = await Child.start(['entry'], { program: PROGRAM, env: { CITRONWHEEL_BOOT: daemon.settings } })
     daemon.child = child
     let ended: number | undefined
@@ -87,15 +87,15 @@
 
   /** Addresses that a daemon names to callers. */
   async listAddresses ({ ports }: FleetDaemon): Promise<readonly string[]> {
-    return await askAddresses(ports.directory)
+    return await listAddresses(ports.directory)
   }
 
   /** Resolves once `check` holds; fails with `what` after 20 s. */
   async waitUntil (what: string, check: () => Promise<boolean> | boolean): Promise<void> {
-    const end = Date.now() + WAIT
+    const end = Date.now() + WAIT_TIMEOUT
     while (!await check()) {
       if (Date.now() > end) throw new Error(`never came about: ${what}`)
-      await new Promise(resolve => setTimeout(resolve, LOOK))
+      await new Promise(resolve => setTimeout(resolve, POLL_PERIOD))
     }
   }
 
@@ -106,12 +106,12 @@
   }
 
   private async addDaemon (index: number): Promise<void> {
-    const held = await keepPorts(5)
-    const [front, readiness, control, directory, metrics] = held.map(({ port }) => port)
+    const reservedPorts = await claimPorts(5)
+    const [front, readiness, control, directory, metrics] = reservedPorts.map(({ port }) => port)
     const ports = { front, readiness, control, directory, metrics } as DaemonPorts
     const settings = join(this.folder, `daemon-${index}.toml`)
-    writeFileSync(settings, writeSettings({ name: `edge-${index}`, ports, store: await this.options.resolveStoreAddress(index, this.store.port) }))
-    this.daemons.push({ ports, settings, held })
+    writeFileSync(settings, formatSettings({ name: `edge-${index}`, ports, store: await this.options.resolveStoreAddress(index, this.store.port) }))
+    this.daemons.push({ ports, settings, reservedPorts })
   }
 }
 
@@ -119,13 +119,13 @@
  * Free ports, held by servers that listen there until the daemon starts: another process that draws at the same time would take them
  * meanwhile. They lie below those from which the system draws for outgoing connections.
  */
-async function keepPorts (count: number): Promise<readonly HeldPort[]> {
-  const held: HeldPort[] = []
-  while (held.length < count) {
+async function claimPorts (count: number): Promise<readonly ReservedPort[]> {
+  const claimed: ReservedPort[] = []
+  while (claimed.length < count) {
     const port = FIRST_PORT + Math.floor(Math.random() * (LAST_PORT - FIRST_PORT))
     const server = createServer()
     const isFree = await listen(server, '127.0.0.1', port).then(() => true, () => false)
-    if (isFree) held.push({ port, server })
+    if (isFree) claimed.push({ port, server })
   }
-  return held
+  return claimed
 }
--- a/harness/region-partition.ts
+++ b/harness/region-partition.ts
@@ -19,7 +19,7 @@
   private readonly regions = new Map<string, string>()
   private readonly relays = new Map<string, readonly Relay[]>()
   private readonly connections = new Set<PeerConnection>()
-  private parted = false
+  private isPartitioned = false
 
   /** Passes on to the daemon from here on. */
   async add ({ name, region, port, peerPort }: RelayedDaemon): Promise<void> {
@@ -27,7 +27,7 @@
     this.regions.set(name, region)
     const relays = [
       new Relay({ host: this.host, port, onOpen: () => {} }),
-      new Relay({ host: this.host, port: peerPort, onOpen: (connection, first) => this.keep({ connection, opener: readHello(first), acceptor: name }) })
+      new Relay({ host: this.host, port: peerPort, onOpen: (connection, first) => this.addConnection({ connection, opener: readHello(first), acceptor: name }) })
     ]
     this.relays.set(name, relays)
     await Promise.all(relays.map(async relay => await relay.start()))
@@ -39,11 +39,11 @@
     this.relays.delete(name)
   }
 
-  setPartitioned (parted: boolean): void {
-    this.parted = parted
-    for (const known of this.connections) {
-      if (known.connection.closed) this.connections.delete(known)
-      else if (this.isBetween(known)) known.connection.setMode({ type: parted ? 'silent' : 'open' })
+  setPartitioned (isPartitioned: boolean): void {
+    this.isPartitioned = isPartitioned
+    for (const peer of this.connections) {
+      if (peer.connection.closed) this.connections.delete(peer)
+      else if (this.crossesRegions(peer)) peer.connection.setMode({ type: isPartitioned ? 'silent' : 'open' })
     }
   }
 
@@ -51,13 +51,13 @@
     for (const name of [...this.relays.keys()]) this.remove(name)
   }
 
-  private keep (known: PeerConnection): void {
-    this.connections.add(known)
-    if (this.parted && this.isBetween(known)) known.connection.setMode({ type: 'silent' })
+  private addConnection (peer: PeerConnection): void {
+    this.connections.add(peer)
+    if (this.isPartitioned && this.crossesRegions(peer)) peer.connection.setMode({ type: 'silent' })
   }
 
   /** Asked anew each time: a daemon opens its first connections before the harness has heard where it listens. */
-  private isBetween ({ opener, acceptor }: PeerConnection): boolean {
+  private crossesRegions ({ opener, acceptor }: PeerConnection): boolean {
     return this.regions.get(opener ?? '') !== this.regions.get(acceptor)
   }
 }
--- a/harness/relayed-connection.ts
+++ b/harness/relayed-connection.ts
@@ -11,8 +11,8 @@
   private ended = false
 
   constructor (private readonly ends: readonly [Socket, Socket]) {
-    this.join(ends[0], ends[1])
-    this.join(ends[1], ends[0])
+    this.pipe(ends[0], ends[1])
+    this.pipe(ends[1], ends[0])
   }
 
   get closed (): boolean {
@@ -43,13 +43,13 @@
     return this.mode.type === 'silent' || this.mode.type === 'answers held'
   }
 
-  private join (from: Socket, to: Socket): void {
-    const way = new DelayedPipe(to)
-    from.on('data', bytes => way.write(bytes as Buffer, this.mode.type === 'delayed' ? this.mode.delay : 0))
+  private pipe (from: Socket, to: Socket): void {
+    const pipe = new DelayedPipe(to)
+    from.on('data', bytes => pipe.write(bytes as Buffer, this.mode.type === 'delayed' ? this.mode.delay : 0))
     from.on('error', () => {})
     from.on('close', () => {
       this.ended = true
-      if (!this.isHeld) way.close()
+      if (!this.isHeld) pipe.close()
     })
   }
 }
--- a/harness/relayed-port.ts
+++ b/harness/relayed-port.ts
@@ -9,7 +9,7 @@
   private mode: RelayMode = { type: 'open' }
 
   constructor (readonly host: string, readonly port: number) {
-    this.relay = new Relay({ host, port, onOpen: connection => this.keep(connection) })
+    this.relay = new Relay({ host, port, onOpen: connection => this.addConnection(connection) })
   }
 
   get address (): string {
@@ -34,7 +34,7 @@
     for (const connection of this.connections) connection.close()
   }
 
-  private keep (connection: RelayedConnection): void {
+  private addConnection (connection: RelayedConnection): void {
     this.connections.add(connection)
     if (this.mode.type !== 'open' && this.mode.type !== 'reset') connection.setMode(this.mode)
   }
--- a/stand-ins/engine/answer-shape.ts
+++ b/stand-ins/engine/answer-metadata.ts
@@ -1,5 +1,5 @@
 /** What the frame around an answer's tokens needs. */
-export interface AnswerShape {
+export interface AnswerMetadata {
   readonly id: string
   readonly model: string
   readonly chat: boolean
--- a/stand-ins/engine/batcher.ts
+++ b/stand-ins/engine/batcher.ts
@@ -21,7 +21,7 @@
 
   /** Begins a step; gives back how long it lasts in ms, 0 when there is nothing to do. */
   beginStep (): number {
-    this.drop()
+    this.removeCancelled()
     this.admit()
     if (this.running.length === 0) return 0
     const { stepBase, stepPerSequence } = this.parameters
@@ -38,7 +38,7 @@
     return this.running.reduce((sum, sequence) => sum + countTokens(sequence), 0)
   }
 
-  private drop (): void {
+  private removeCancelled (): void {
     for (const list of [this.waiting, this.running]) {
       for (let i = list.length - 1; i >= 0; i--) if (list[i]!.cancelled) this.release(list.splice(i, 1)[0]!)
     }
--- a/stand-ins/engine/cache-events.ts
+++ b/stand-ins/engine/cache-events.ts
@@ -1,6 +1,6 @@
 import type { Random } from '../../src/kernel/random.js'
 
-const KEPT_EVENTS = 10_000
+const MAX_EVENTS = 10_000
 
 interface CacheEvent { readonly number: number, readonly at: number, readonly type: 'stored' | 'removed', readonly block: number }
 
@@ -9,13 +9,13 @@
   private readonly events: CacheEvent[] = []
   private next = 1
 
-  constructor (private readonly lag: number, private readonly gaps: number, private readonly random: Random) {}
+  constructor (private readonly lag: number, private readonly lossShare: number, private readonly random: Random) {}
 
   record (type: 'stored' | 'removed', block: number, at: number): void {
     const number = this.next++
-    if (this.random.next() < this.gaps) return
+    if (this.random.next() < this.lossShare) return
     this.events.push({ number, at, type, block })
-    if (this.events.length > KEPT_EVENTS) this.events.shift()
+    if (this.events.length > MAX_EVENTS) this.events.shift()
   }
 
   /** Those after number `after` that are old enough to be told; a jump in the numbers is a gap. */
--- a/stand-ins/engine/connections.ts
+++ b/stand-ins/engine/connections.ts
@@ -4,7 +4,7 @@
 /** The open connections of a stand-in, oldest first, and those that have gone silent. */
 export class Connections {
   private readonly open = new Set<Socket>()
-  private readonly silent = new WeakSet<Socket>()
+  private readonly stalled = new WeakSet<Socket>()
 
   constructor (server: Server) {
     server.on('connection', socket => {
@@ -14,14 +14,14 @@
   }
 
   /** Silences up to `count` open connections but `except`: nothing more is read from them or written to them. */
-  silence (count: number, except: Socket): void {
+  stall (count: number, except: Socket): void {
     for (const socket of [...this.open].filter(socket => socket !== except).slice(0, count)) {
-      this.silent.add(socket)
+      this.stalled.add(socket)
       socket.pause()
     }
   }
 
-  isSilent (socket: Socket | null): boolean {
-    return socket !== null && this.silent.has(socket)
+  isStalled (socket: Socket | null): boolean {
+    return socket !== null && this.stalled.has(socket)
   }
 }
--- a/stand-ins/engine/engine-model.ts
+++ b/stand-ins/engine/engine-model.ts
@@ -26,7 +26,7 @@
   readonly log: RunRecord[] = []
   readonly parameters: EngineParameters
   readonly random: Random
-  readonly slots: EngineState
+  readonly state: EngineState
   readonly cacheEvents: CacheEvents
   readonly loop: StepLoop
   /** Running and waiting sequences as last reported; up to `loadLag` old. */
@@ -39,7 +39,7 @@
   constructor (parameters: Partial<EngineParameters> = {}) {
     this.parameters = { ...defaultParameters, ...parameters }
     this.random = new Random(this.parameters.seed)
-    this.slots = new EngineState(this.parameters)
+    this.state = new EngineState(this.parameters)
     this.cacheEvents = new CacheEvents(this.parameters.cacheEventLag, this.parameters.cacheEventGaps, this.random)
     this.batcher = new Batcher(this.parameters, new PrefixCache(({ type, block }) => this.cacheEvents.record(type, block, Date.now())))
     this.loop = new StepLoop(this.batcher)
--- a/stand-ins/engine/engine-state.ts
+++ b/stand-ins/engine/engine-state.ts
@@ -2,22 +2,22 @@
 import type { EngineParameters } from './engine-parameters.js'
 import type { Order } from './order.js'
 
-type SlotParameters = Pick<EngineParameters, 'checksFencing' | 'models' | 'role' | 'weightBytes' | 'weightBytesPerSecond'>
+type StateParameters = Pick<EngineParameters, 'checksFencing' | 'models' | 'role' | 'weightBytes' | 'weightBytesPerSecond'>
 
 /** A model on the engine; `readyAt` is when its weights are there, in the engine's ms. */
-interface Slot { readonly model: string, readonly readyAt: number }
+interface LoadedModel { readonly model: string, readonly readyAt: number }
 
 /** What orders have made of an engine: its models, its role, and the last fencing number it took. */
 export class EngineState {
-  private slots: readonly Slot[]
+  private models: readonly LoadedModel[]
   private role: string
   private fencing = 0
-  private storeFreeAt = 0
+  private weightStoreFreeAt = 0
   /** Every order taken, in order; the truth that tests read. */
-  readonly taken: Array<Order & { readonly at: number }> = []
+  readonly accepted: Array<Order & { readonly at: number }> = []
 
-  constructor (private readonly parameters: SlotParameters) {
-    this.slots = parameters.models.map(model => ({ model, readyAt: 0 }))
+  constructor (private readonly parameters: StateParameters) {
+    this.models = parameters.models.map(model => ({ model, readyAt: 0 }))
     this.role = parameters.role
   }
 
@@ -25,25 +25,25 @@
   apply (order: Order, now: number): Result<void, { readonly fencing: number }> {
     if (this.parameters.checksFencing && order.fencing < this.fencing) return Err({ fencing: this.fencing })
     this.fencing = this.parameters.checksFencing ? order.fencing : Math.max(this.fencing, order.fencing)
-    this.taken.push({ ...order, at: now })
+    this.accepted.push({ ...order, at: now })
     switch (order.kind) {
       case 'load': this.load(order.model, now); break
-      case 'unload': this.slots = this.slots.filter(({ model }) => model !== order.model); break
+      case 'unload': this.models = this.models.filter(({ model }) => model !== order.model); break
       case 'role': this.role = order.role
     }
     return Ok(undefined)
   }
 
   read (now: number): { readonly models: ReadonlyArray<{ readonly model: string, readonly state: 'loading' | 'loaded' }>, readonly role: string, readonly fencing: number } {
-    const models = this.slots.map(({ model, readyAt }) => ({ model, state: readyAt <= now ? 'loaded' as const : 'loading' as const }))
+    const models = this.models.map(({ model, readyAt }) => ({ model, state: readyAt <= now ? 'loaded' as const : 'loading' as const }))
     return { models, role: this.role, fencing: this.fencing }
   }
 
   /** One load at a time, at the weight store's rate. */
   private load (model: string, now: number): void {
-    if (this.slots.some(slot => slot.model === model)) return
+    if (this.models.some(slot => slot.model === model)) return
     const { weightBytes, weightBytesPerSecond } = this.parameters
-    this.storeFreeAt = Math.max(now, this.storeFreeAt) + weightBytes / weightBytesPerSecond * 1_000
-    this.slots = [...this.slots, { model, readyAt: this.storeFreeAt }]
+    this.weightStoreFreeAt = Math.max(now, this.weightStoreFreeAt) + weightBytes / weightBytesPerSecond * 1_000
+    this.models = [...this.models, { model, readyAt: this.weightStoreFreeAt }]
   }
 }
--- a/stand-ins/engine/engine.ts
+++ b/stand-ins/engine/engine.ts
@@ -12,7 +12,7 @@
 import { readOrder } from './read-order.js'
 import type { TokenWriter } from './token-writer.js'
 import { writeStream } from './write-stream.js'
-import { writeWhole } from './write-whole.js'
+import { writeFullAnswer } from './write-full-answer.js'
 
 const BODY_LIMIT = 4_000_000
 const CRASH_CODE = 70
@@ -32,13 +32,13 @@
     app.post('/v1/completions', async (req, res) => await this.complete(req, res, false))
     app.get('/health', (_req, res) => sendJson(res, 200, { status: 'ok' }))
     app.get('/load', (_req, res) => sendJson(res, 200, this.model.report))
-    app.get('/state', (_req, res) => sendJson(res, 200, this.model.slots.read(Date.now())))
+    app.get('/state', (_req, res) => sendJson(res, 200, this.model.state.read(Date.now())))
     app.get('/cache-events', (req, res) => sendJson(res, 200, { events: this.model.cacheEvents.list(Number(req.query.after ?? 0), Date.now()) }))
     app.post('/orders', async (req, res) => await this.takeOrder(req, res))
     app.post('/kv/export', async (req, res) => await this.exportKv(req, res))
     app.post('/control/faults', async (req, res) => await this.setFaults(req, res))
     app.get('/control/log', (_req, res) => sendJson(res, 200, { runs: this.model.log }))
-    app.get('/control/orders', (_req, res) => sendJson(res, 200, { orders: this.model.slots.taken }))
+    app.get('/control/orders', (_req, res) => sendJson(res, 200, { orders: this.model.state.accepted }))
     this.server = createAppServer(app)
     this.connections = new Connections(this.server)
   }
@@ -55,7 +55,7 @@
 
   private async complete (req: Request, res: Response, chat: boolean): Promise<void> {
     const text = await readText(req, res)
-    if (text === undefined || this.connections.isSilent(req.socket)) return
+    if (text === undefined || this.connections.isStalled(req.socket)) return
     const read = readCompletion(text, chat)
     if (read.err) return sendInvalid(res, 400, read.val)
     const completion = read.val
@@ -65,8 +65,8 @@
     if (answerDelay > 0) await new Promise(resolve => setTimeout(resolve, answerDelay))
     const id = String(req.headers['x-request-id'])
     const words = this.model.listWords(completion)
-    const shape = { id, model: completion.model, chat, words, resumed: completion.resumeFrom.length, promptTokens: Math.ceil(completion.prompt.length / 4), includeUsage: completion.includeUsage }
-    const write = (completion.stream ? writeStream : writeWhole)(res, shape)
+    const metadata = { id, model: completion.model, chat, words, resumed: completion.resumeFrom.length, promptTokens: Math.ceil(completion.prompt.length / 4), includeUsage: completion.includeUsage }
+    const write = (completion.stream ? writeStream : writeFullAnswer)(res, metadata)
     const run = this.model.start(completion, id, text, this.applyFaults(res, write))
     res.on('close', () => run.cancel())
   }
@@ -79,7 +79,7 @@
     return (word, last) => {
       tokens++
       if (hit && tokens > cutAfter) res.socket?.destroy()
-      else if ((!hit || tokens <= silenceAfter) && !this.connections.isSilent(res.socket)) write(word, last)
+      else if ((!hit || tokens <= silenceAfter) && !this.connections.isStalled(res.socket)) write(word, last)
     }
   }
 
@@ -88,8 +88,8 @@
     if (text === undefined) return
     const order = readOrder(text)
     if (order.err) return sendInvalid(res, 400, order.val)
-    const taken = this.model.slots.apply(order.val, Date.now())
-    if (taken.err) return sendJson(res, 409, { error: { message: 'old fencing number' }, fencing: taken.val.fencing })
+    const accepted = this.model.state.apply(order.val, Date.now())
+    if (accepted.err) return sendJson(res, 409, { error: { message: 'old fencing number' }, fencing: accepted.val.fencing })
     sendJson(res, 200, {})
   }
 
@@ -106,10 +106,10 @@
     if (text === undefined) return
     this.faults = JSON.parse(text) as EngineFaults
     if (this.faults.die === true) process.exit(CRASH_CODE)
-    this.connections.silence(this.faults.silenceOpen ?? 0, req.socket)
+    this.connections.stall(this.faults.silenceOpen ?? 0, req.socket)
     this.model.loop.factor = this.faults.stepFactor ?? 1
-    if (this.faults.frozen === true) this.model.loop.freeze()
-    else this.model.loop.thaw()
+    if (this.faults.frozen === true) this.model.loop.pause()
+    else this.model.loop.resume()
     sendJson(res, 200, {})
   }
 }
--- a/stand-ins/engine/step-loop.ts
+++ b/stand-ins/engine/step-loop.ts
@@ -5,22 +5,22 @@
   /** Factor on each step's length. */
   factor = 1
   private stepping = false
-  private stopped = false
+  private isPaused = false
 
   constructor (private readonly batcher: Batcher) {}
 
   /** Goes on after work was added. */
   wake (): void {
-    if (!this.stepping && !this.stopped) this.step()
+    if (!this.stepping && !this.isPaused) this.step()
   }
 
   /** Stops after the step that is running; what runs stays where it is. */
-  freeze (): void {
-    this.stopped = true
+  pause (): void {
+    this.isPaused = true
   }
 
-  thaw (): void {
-    this.stopped = false
+  resume (): void {
+    this.isPaused = false
     this.wake()
   }
 
--- a/stand-ins/engine/write-whole.ts
+++ b/stand-ins/engine/write-full-answer.ts
@@ -1,10 +1,10 @@
 import type { ServerResponse } from 'node:http'
 import { sendJson } from '../../src/http/send-json.js'
-import type { AnswerShape } from './answer-shape.js'
+import type { AnswerMetadata } from './answer-metadata.js'
 import type { TokenWriter } from './token-writer.js'
 
 /** Answers with one body at the last token. A resumed answer holds the tokens after those it was resumed from. */
-export function writeWhole (res: ServerResponse, { id, model, chat, promptTokens }: AnswerShape): TokenWriter {
+export function writeFullAnswer (res: ServerResponse, { id, model, chat, promptTokens }: AnswerMetadata): TokenWriter {
   const given: string[] = []
   return (word, last) => {
     given.push(word)
--- a/stand-ins/engine/write-stream.ts
+++ b/stand-ins/engine/write-stream.ts
@@ -1,9 +1,9 @@
 import type { ServerResponse } from 'node:http'
-import type { AnswerShape } from './answer-shape.js'
+import type { AnswerMetadata } from './answer-metadata.js'
 import type { TokenWriter } from './token-writer.js'
 
 /** Answers token by token, as server-sent events; a resumed answer starts after the tokens it was resumed from. */
-export function writeStream (res: ServerResponse, { id, model, chat, words, resumed, promptTokens, includeUsage }: AnswerShape): TokenWriter {
+export function writeStream (res: ServerResponse, { id, model, chat, words, resumed, promptTokens, includeUsage }: AnswerMetadata): TokenWriter {
   res.writeHead(200, { 'content-type': 'text/event-stream' })
   res.flushHeaders()
   let first = resumed === 0
--- a/stand-ins/machines/write-settings.ts
+++ b/stand-ins/machines/format-settings.ts
@@ -8,7 +8,7 @@
 }
 
 /** A daemon's settings file as the users' platform writes it, for loopback. */
-export function writeSettings ({ name, ports, store }: SettingsOptions): string {
+export function formatSettings ({ name, ports, store }: SettingsOptions): string {
   return `node = "${name}"
 ip = "127.0.0.1"
 zone = "a"
--- a/stand-ins/machines/object-api.ts
+++ b/stand-ins/machines/object-api.ts
@@ -14,7 +14,7 @@
   /** `busy` answers 503, `limited` 429, `silent` not at all. */
   down?: 'busy' | 'limited' | 'silent'
   /** A kind of object that alone is answered 503. */
-  refuses?: string
+  refusedKind?: string
   /** Whether writes take effect and are never answered. */
   losesReplies?: boolean
   /** Before each answer, ms. */
@@ -58,7 +58,7 @@
     if (this.faults.down === 'silent') return
     if (this.faults.delay !== undefined) await new Promise(resolve => setTimeout(resolve, this.faults.delay))
     if (this.faults.down !== undefined) return sendJson(res, this.faults.down === 'busy' ? 503 : 429, {})
-    if (kind === this.faults.refuses) return sendJson(res, 503, {})
+    if (kind === this.faults.refusedKind) return sendJson(res, 503, {})
     if (kind === undefined || body.err) return sendJson(res, 400, {})
     const target = { kind, name: name === undefined ? undefined : decodeURIComponent(name), isStatus: status !== undefined, query: url.searchParams }
     if (req.method === 'GET') return await this.read(target, res)
--- a/stand-ins/platform/fault-plan.ts
+++ b/stand-ins/platform/fault-plan.ts
@@ -27,7 +27,7 @@
   }
 
   /** How old the state is that a read gets, in ms; 0 is the present. */
-  chooseAge (): number {
+  chooseReadAge (): number {
     const { oldReads } = this.faults
     return oldReads !== undefined && this.random.next() < oldReads.share ? oldReads.lag : 0
   }
--- a/stand-ins/platform/memory-store.ts
+++ b/stand-ins/platform/memory-store.ts
@@ -25,16 +25,16 @@
 export class MemoryStore implements ObjectStore {
   /** What was said of the state of objects, by `KIND/NAME`. */
   readonly statuses = new Map<string, unknown>()
-  readonly objects = new ObjectTable(() => this.age)
+  readonly objects = new ObjectTable(() => this.generation)
   readonly calls: StoreCall[] = []
   instances: readonly Instance[] = []
   fault: (call: StoreCall) => FaultEffect = () => 'none'
-  private age = 1
+  private generation = 1
   private readonly delayed: Array<() => void> = []
 
   /** Keeps the present state as what an old read gets from here on. */
   keepSnapshot (): void {
-    this.age++
+    this.generation++
   }
 
   /** Runs the writes that faults held back, in the order they were sent. */
@@ -44,7 +44,7 @@
 
   async get<T> (kind: string, name: string): Promise<Result<StoredObject<T>, StoreError>> {
     return await this.call({ call: 'get', kind, name }, old => {
-      const object = old ? this.objects.readAt(kind, name, this.age - 1) : this.objects.read(kind, name)
+      const object = old ? this.objects.readAt(kind, name, this.generation - 1) : this.objects.read(kind, name)
       return object === undefined ? Err({ type: 'missing' } as const) : Ok(copy(object) as StoredObject<T>)
     })
   }
@@ -70,7 +70,7 @@
 
   async list<T> (kind: string, { prefix = '', after = '', limit = 500 } = {}): Promise<Result<readonly StoredObject<T>[], StoreError>> {
     return await this.call({ call: 'list', kind, name: prefix }, old => {
-      const objects = old ? this.objects.listAt(kind, prefix, after, limit, this.age - 1) : this.objects.list(kind, prefix, after, limit)
+      const objects = old ? this.objects.listAt(kind, prefix, after, limit, this.generation - 1) : this.objects.list(kind, prefix, after, limit)
       return Ok(copy(objects) as StoredObject<T>[])
     })
   }
@@ -79,7 +79,7 @@
   async watch<T> (kind: string, revision: number): Promise<Result<WatchBatch<T>, StoreError>> {
     return await this.call({ call: 'watch', kind, name: '' }, old => {
       const seen = old && revision < 0
-        ? { revision: -1, changed: this.objects.listAt(kind, '', '', Infinity, this.age - 1), deleted: [] }
+        ? { revision: -1, changed: this.objects.listAt(kind, '', '', Infinity, this.generation - 1), deleted: [] }
         : { revision: this.objects.revision, ...this.objects.changesSince(kind, revision) }
       return Ok(copy(seen) as WatchBatch<T>)
     })
--- a/stand-ins/platform/object-table.ts
+++ b/stand-ins/platform/object-table.ts
@@ -43,13 +43,13 @@
   }
 
   list (kind: string, prefix: string, after: string, limit: number): StoredObject[] {
-    return choose([...this.kinds.get(kind)?.values() ?? []], prefix, after, limit)
+    return listPage([...this.kinds.get(kind)?.values() ?? []], prefix, after, limit)
   }
 
   /** The list as it was at `time`. */
   listAt (kind: string, prefix: string, after: string, limit: number, time: number): StoredObject[] {
     const latest = indexLatest((this.changes.get(kind) ?? []).filter(({ at }) => at <= time))
-    return choose([...latest.values()].flatMap(({ object }) => object ?? []), prefix, after, limit)
+    return listPage([...latest.values()].flatMap(({ object }) => object ?? []), prefix, after, limit)
   }
 
   /** The latest change of each object of `kind` after `revision`; everything there is when it is negative. */
@@ -82,7 +82,7 @@
   return new Map(changes.map(change => [change.name, change]))
 }
 
-function choose (rows: readonly Row[], prefix: string, after: string, limit: number): StoredObject[] {
+function listPage (rows: readonly Row[], prefix: string, after: string, limit: number): StoredObject[] {
   return rows
     .filter(({ name }) => name.startsWith(prefix) && name > after)
     .sort((a, b) => a.name < b.name ? -1 : 1)
--- a/stand-ins/platform/platform.ts
+++ b/stand-ins/platform/platform.ts
@@ -99,7 +99,7 @@
 
   private readObject (req: Request, res: Response): void {
     const { kind, name } = readTarget(req)
-    const age = this.plan.chooseAge()
+    const age = this.plan.chooseReadAge()
     const object = age === 0 ? this.objects.read(kind, name) : this.objects.readAt(kind, name, Date.now() - age)
     if (object === undefined) sendJson(res, 404, { error: 'no such object' })
     else sendJson(res, 200, object)
@@ -111,7 +111,7 @@
     const { value, version, writeId } = JSON.parse(body.val.toString())
     if (Buffer.byteLength(JSON.stringify(value)) > VALUE_LIMIT) return sendJson(res, 413, { error: `value over ${VALUE_LIMIT} bytes` })
     const { kind, name } = readTarget(req)
-    this.takeEffect(res, () => {
+    this.applyWrite(res, () => {
       const written = this.objects.write(kind, name, value, version, writeId)
       return typeof written === 'number' ? { status: 409, body: { error: 'version differs', version: written } } : { status: 200, body: written }
     })
@@ -119,25 +119,25 @@
 
   private removeObject (req: Request, res: Response): void {
     const { kind, name } = readTarget(req)
-    this.takeEffect(res, () => {
+    this.applyWrite(res, () => {
       if (this.objects.remove(kind, name, Number(req.query.version))) return { status: 200, body: {} }
       return { status: 409, body: { error: 'version differs', version: this.objects.read(kind, name)?.version ?? 0 } }
     })
   }
 
   /** Runs a write now or later, and answers it unless its reply is to be lost. */
-  private takeEffect (res: Response, run: () => { readonly status: number, readonly body: unknown }): void {
-    const fate = this.plan.chooseWriteOutcome()
-    if (fate !== 'normal') this.counts.failed++
-    if (fate === 'delayed') setTimeout(run, this.plan.faults.delayedWrites!.delay)
-    const answer = fate === 'delayed' ? undefined : run()
-    if (fate === 'normal') sendJson(res, answer!.status, answer!.body)
+  private applyWrite (res: Response, run: () => { readonly status: number, readonly body: unknown }): void {
+    const outcome = this.plan.chooseWriteOutcome()
+    if (outcome !== 'normal') this.counts.failed++
+    if (outcome === 'delayed') setTimeout(run, this.plan.faults.delayedWrites!.delay)
+    const answer = outcome === 'delayed' ? undefined : run()
+    if (outcome === 'normal') sendJson(res, answer!.status, answer!.body)
     else res.socket?.destroy()
   }
 
   private listObjects (req: Request, res: Response): void {
     const { prefix = '', after = '', limit = '500' } = req.query as Record<string, string>
-    const age = this.plan.chooseAge()
+    const age = this.plan.chooseReadAge()
     const { kind = '' } = req.params
     const objects = age === 0
       ? this.objects.list(kind, prefix, after, Number(limit))
@@ -150,7 +150,7 @@
     if (this.plan.faults.silentWatches === true) return
     const kind = req.params.kind!
     const since = Number(req.query.revision)
-    const age = since < 0 ? this.plan.chooseAge() : 0
+    const age = since < 0 ? this.plan.chooseReadAge() : 0
     if (age > 0) return sendJson(res, 200, { revision: -1, changed: this.objects.listAt(kind, '', '', Infinity, Date.now() - age), deleted: [] })
     const answer = (): boolean => {
       const { changed, deleted } = this.objects.changesSince(kind, since)
@@ -160,10 +160,10 @@
     }
     if (answer()) return
     const stop = (): void => {
-      unlisten()
+      unsubscribe()
       clearTimeout(timer)
     }
-    const unlisten = this.objects.onChange(kind, () => this.plan.faults.outage === undefined && answer() && stop())
+    const unsubscribe = this.objects.onChange(kind, () => this.plan.faults.outage === undefined && answer() && stop())
     const timer = setTimeout(() => {
       stop()
       sendJson(res, 200, { revision: this.objects.revision, changed: [], deleted: [] })
--- a/test/helpers/job-fleet.ts
+++ b/test/helpers/job-fleet.ts
@@ -25,8 +25,8 @@
 const ITEMS: readonly JobItem[] = ['a', 'b', 'c', 'd', 'e', 'f'].map(id => ({ id, path: `/jobs/${id}`, headers: {}, body: 'eA==', tokens: 10 }))
 const NAMES = ['d1', 'd2', 'd3', 'd4', 'd5']
 /** How long membership takes to find a silent daemon dead, and to find it back, ms. */
-const DEAD_AFTER = 2_500
-const BACK_AFTER = 500
+const DETECTION_DELAY = 2_500
+const RECOVERY_DELAY = 500
 /** How long results of a job are kept, ms. */
 const RESULT_KEEP = 120_000
 interface Daemon { readonly name: string, readonly clock: PausableClock, readonly pauses: PauseWatch, readonly registry: JobRegistry, readonly records: JobRecords, readonly owner: JobOwner, readonly reader: JobReader, finish: (item: string) => void }
@@ -61,10 +61,10 @@
     const { clock } = this.daemons.get(name)!
     if (clock.isPaused) return
     clock.pause()
-    this.time.after(DEAD_AFTER, () => { if (clock.isPaused) this.dead.add(name) })
+    this.time.after(DETECTION_DELAY, () => { if (clock.isPaused) this.dead.add(name) })
     this.time.after(pause, () => {
       clock.resume(counted)
-      this.time.after(BACK_AFTER, () => { if (!clock.isPaused) this.dead.delete(name) })
+      this.time.after(RECOVERY_DELAY, () => { if (!clock.isPaused) this.dead.delete(name) })
     })
   }
 
@@ -72,7 +72,7 @@
     return NAMES.filter(name => !this.dead.has(name) && this.isMember(of, name))
   }
 
-  private post (from: string, to: string, message: PeerMessage): void {
+  private send (from: string, to: string, message: PeerMessage): void {
     if (this.dead.has(to) || this.dead.has(from) || this.loses(from, to, message)) return
     this.time.after(1, () => this.daemons.get(to)!.clock.run(() => this.dispatch(to, message, from)))
   }
@@ -89,25 +89,25 @@
       owners: () => this.listMembers(name),
       subscribe: () => () => {}
     } as unknown as Members
-    const links = { send: (to: string, message: PeerMessage) => this.post(name, to, message) } as unknown as PeerLinks
-    const fleetBroadcast = { broadcast: (message: PeerMessage) => { for (const other of this.listMembers(name)) if (other !== name) this.post(name, other, message) } } as unknown as FleetBroadcast
+    const links = { send: (to: string, message: PeerMessage) => this.send(name, to, message) } as unknown as PeerLinks
+    const fleetBroadcast = { broadcast: (message: PeerMessage) => { for (const other of this.listMembers(name)) if (other !== name) this.send(name, other, message) } } as unknown as FleetBroadcast
     let onResult: (job: OwnedJob) => void = () => {}
     const runner = { subscribe: (listener: (job: OwnedJob) => void) => { onResult = listener }, add: () => {}, remove: () => {} } as unknown as JobRunner
-    const book = new JobRegistry(fleetBroadcast)
+    const registry = new JobRegistry(fleetBroadcast)
     const records = new JobRecords(this.store)
     const settings = { instance: name, failureDomain: 'z' } as unknown as Settings
     const pauses = new PauseWatch(clock)
-    const owner = new JobOwner(records, runner, book, members, links, pauses, settings, { write: () => {} }, clock)
-    const contest = new OwnerConflictResolver(owner, book, pauses, settings, { write: () => {} }, clock)
+    const owner = new JobOwner(records, runner, registry, members, links, pauses, settings, { write: () => {} }, clock)
+    const conflicts = new OwnerConflictResolver(owner, registry, pauses, settings, { write: () => {} }, clock)
     const lookup = new EndedJobLookup(records, members, links, pauses, settings, clock)
-    const ends = new EndedJobWatch(owner, records, lookup, pauses, new Metrics(), { resultKeep: RESULT_KEEP }, { write: () => {} }, clock)
-    const adoption = new JobAdoption(owner, book, records, members, settings, clock)
-    const reader = new JobReader(owner, book, records, links, settings, { write: () => {} }, clock)
-    this.handlers.set(name, [...book.extensions, ...owner.extensions, ...reader.extensions, ...lookup.extensions].map(({ value }) => value as PeerHandler))
+    const endedJobs = new EndedJobWatch(owner, records, lookup, pauses, new Metrics(), { resultKeep: RESULT_KEEP }, { write: () => {} }, clock)
+    const adoption = new JobAdoption(owner, registry, records, members, settings, clock)
+    const reader = new JobReader(owner, registry, records, links, settings, { write: () => {} }, clock)
+    this.handlers.set(name, [...registry.extensions, ...owner.extensions, ...reader.extensions, ...lookup.extensions].map(({ value }) => value as PeerHandler))
     void pauses.start()
     void owner.start()
-    void contest.start()
-    void ends.start()
+    void conflicts.start()
+    void endedJobs.start()
     void adoption.start()
     const finish = (item: string): void => {
       const job = owner.find('j')
@@ -116,6 +116,6 @@
       job.finish(state, { id: item, state: 'completed', text: `by ${name}` })
       onResult(job)
     }
-    return { name, clock, pauses, registry: book, records, owner, reader, finish }
+    return { name, clock, pauses, registry, records, owner, reader, finish }
   }
 }
--- a/test/helpers/measure-account.ts
+++ b/test/helpers/measure-account.ts
@@ -10,10 +10,10 @@
 import type { ObjectStore } from '../../src/store/object-store.js'
 
 /** How the account gets to the platform: parts rewritten, a part a flush, or told to a relay or a partner besides. */
-type Way = 'rewrite' | 'delta' | 'relay' | 'partner'
+type ReportPath = 'rewrite' | 'delta' | 'relay' | 'partner'
 
 interface MeasureOptions {
-  readonly way: Way
+  readonly way: ReportPath
   /** Time between flushes, ms, and requests that set one off. */
   readonly period: number
   readonly lead: number
@@ -26,16 +26,16 @@
 }
 
 /** Of the whole fleet, a second; what a kill at a random moment loses, in requests of the one daemon. */
-interface Measured { writes: number, bytes: number, peerBytes: number, lostMean: number, lostMost: number, folds: number }
+interface Measurement { writes: number, bytes: number, peerBytes: number, lostMean: number, lostMost: number, folds: number }
 
-const RATE = 25
-const TELL = 10
+const REQUESTS_PER_SECOND = 25
+const REPORT_PERIOD = 10
 const DOMAINS = 6
 const START = Date.UTC(2026, 11, 2, 1)
 
 /** Runs daemons by the second, each with its own callers at the target's rate, and counts what their accounts write. */
-export async function measureAccount ({ way, period, lead, daemons = 19, fleet = 380, callers, seconds = 600 }: MeasureOptions): Promise<Measured> {
-  const sum: Measured = { writes: 0, bytes: 0, peerBytes: 0, lostMean: 0, lostMost: 0, folds: 0 }
+export async function measureAccount ({ way, period, lead, daemons = 19, fleet = 380, callers, seconds = 600 }: MeasureOptions): Promise<Measurement> {
+  const sum: Measurement = { writes: 0, bytes: 0, peerBytes: 0, lostMean: 0, lostMost: 0, folds: 0 }
   const relayed: Record<number, Record<string, AccountRows[string]>> = {}
   const store = countWrites(sum)
   for (let d = 0; d < daemons; d++) {
@@ -43,16 +43,16 @@
     const writer = new AccountWriter({ store, instance: `entry-${d}`, started: START })
     let flushed = 0
     let due = period
-    let told: AccountRows = {}
+    let reported: AccountRows = {}
     for (let second = 1; second <= seconds; second++) {
       countSecond(account, callers, d, second)
       sum.lostMean += (account.askedOnline - flushed) / daemons / seconds
       sum.lostMost = Math.max(sum.lostMost, account.askedOnline - flushed)
-      if ((way === 'relay' || way === 'partner') && second % TELL === d % TELL) {
+      if ((way === 'relay' || way === 'partner') && second % REPORT_PERIOD === d % REPORT_PERIOD) {
         const rows = account.read()
-        const changed = addRows(rows, told, -1)
+        const changed = addRows(rows, reported, -1)
         sum.peerBytes += encode({ type: 'account delta', rows: changed }).length
-        told = rows
+        reported = rows
         for (const [key, counts] of Object.entries(changed)) (relayed[findShard(key)] ??= {})[key] = counts
         if (way === 'relay') flushed = account.askedOnline
       }
@@ -68,17 +68,17 @@
 }
 
 /** A relay a failure domain: each shard written every ten seconds, with the rows of a domain's callers. */
-function addRelay (sum: Measured, relayed: Readonly<Record<number, AccountRows>>, callers: number): void {
+function addRelay (sum: Measurement, relayed: Readonly<Record<number, AccountRows>>, callers: number): void {
   const rows = Object.values(relayed).flatMap(shard => Object.values(shard))
   const rowBytes = rows.reduce((bytes, counts) => bytes + JSON.stringify(counts).length + 40, 0) / Math.max(1, rows.length)
   const domainRows = 2 * Math.min(6_800, callers * 380 / DOMAINS)
-  Object.assign(sum, { writes: DOMAINS * accountLimits.shards / TELL, bytes: DOMAINS * domainRows * rowBytes / TELL })
+  Object.assign(sum, { writes: DOMAINS * accountLimits.shards / REPORT_PERIOD, bytes: DOMAINS * domainRows * rowBytes / REPORT_PERIOD })
 }
 
 function countSecond (account: Account, callers: number, daemon: number, second: number): void {
-  for (let i = 0; i < RATE; i++) {
+  for (let i = 0; i < REQUESTS_PER_SECOND; i++) {
     // Spread as multiplication by a large prime spreads it; the same in each run.
-    const draw = ((daemon * 7_919 + second * RATE + i) * 2_654_435_761) % 4_294_967_296 / 4_294_967_296
+    const draw = ((daemon * 7_919 + second * REQUESTS_PER_SECOND + i) * 2_654_435_761) % 4_294_967_296 / 4_294_967_296
     const caller = `organisation-${Math.floor(draw * draw * callers)}`
     const service = `model-${(i + second) % 2}`
     account.count(caller, service, 'online', { type: 'asked' })
@@ -86,7 +86,7 @@
   }
 }
 
-function countWrites (sum: Measured): ObjectStore {
+function countWrites (sum: Measurement): ObjectStore {
   const store: Pick<ObjectStore, 'put'> = {
     put: async (kind, name, value, version): Promise<Result<any, never>> => {
       sum.writes++
--- a/test/helpers/measure-membership.ts
+++ b/test/helpers/measure-membership.ts
@@ -6,7 +6,7 @@
 
 const WARM_UP = 300_000
 const STEADY = 20_000
-const AFTER_DEATH = 40_000
+const OBSERVED = 40_000
 const MS_PER_SECOND = 1_000
 
 const { values, positionals } = parseArgs({ allowPositionals: true, options: { lost: { type: 'string', default: '1' } } })
@@ -27,7 +27,7 @@
   let worstSecond = 0
   const lost = Array.from({ length: Number(values.lost) }, (_, i) => `entry-${i + 1}`)
   for (const name of lost) fleet.stopped.add(name)
-  for (let second = 0; second < AFTER_DEATH / MS_PER_SECOND; second++) {
+  for (let second = 0; second < OBSERVED / MS_PER_SECOND; second++) {
     const bytes = fleet.bytes
     fleet.run(MS_PER_SECOND, () => {
       if (suspected === 0 && fleet.names.some(name => fleet.see(name, 'entry-1') === 'suspect')) suspected = fleet.now - died
@@ -39,7 +39,7 @@
     members: size,
     whole,
     sentBytesPerSecond: Math.round(rate),
-    sentBytesPerSecondAroundDeath: Math.round((fleet.bytes - atDeath) / size / (AFTER_DEATH / MS_PER_SECOND)),
+    sentBytesPerSecondAroundDeath: Math.round((fleet.bytes - atDeath) / size / (OBSERVED / MS_PER_SECOND)),
     sentBytesInWorstSecond: Math.round(worstSecond / fleet.names.length),
     lost: lost.length,
     coreShare: Number((spent / STEADY / size).toFixed(5)),
--- a/test/helpers/memory-transport.ts
+++ b/test/helpers/memory-transport.ts
@@ -51,11 +51,11 @@
       if (typeof done === 'object' || done === true) return { type: 'answered', status: 200, body: done }
       return { type: 'answered', status: 409, body: { version: this.objects.read(kind, name)?.version ?? 0 } }
     }
-    const fate = this.plan.chooseWriteOutcome()
-    if (fate === 'normal') return run()
-    if (fate === 'delayed') this.clock.after(this.plan.faults.delayedWrites!.delay, run)
+    const outcome = this.plan.chooseWriteOutcome()
+    if (outcome === 'normal') return run()
+    if (outcome === 'delayed') this.clock.after(this.plan.faults.delayedWrites!.delay, run)
     else run()
-    return { type: 'no answer', reason: fate }
+    return { type: 'no answer', reason: outcome }
   }
 
   private read (call: Exclude<ApiCall, { type: 'put' | 'delete' }>): ApiAnswer {
--- a/test/helpers/pausable-clock.ts
+++ b/test/helpers/pausable-clock.ts
@@ -3,10 +3,10 @@
 
 /** The clock of one process of several on virtual time, which can stand still: what falls due meanwhile runs when it goes on. */
 export class PausableClock implements Clock {
-  private readonly held: Array<() => void> = []
+  private readonly pending: Array<() => void> = []
   private pausedAt: number | undefined
   /** Time that the steady clock didn't count, ms. */
-  private missed = 0
+  private uncounted = 0
 
   constructor (private readonly clock: VirtualClock) {}
 
@@ -15,7 +15,7 @@
   }
 
   now (): number {
-    return this.clock.now() - this.missed
+    return this.clock.now() - this.uncounted
   }
 
   date (): number {
@@ -37,7 +37,7 @@
 
   /** Runs `task` now, or when the process goes on. */
   run (task: () => void): void {
-    if (this.isPaused) this.held.push(task)
+    if (this.isPaused) this.pending.push(task)
     else task()
   }
 
@@ -47,8 +47,8 @@
 
   /** Goes on; `counted` says whether the steady clock went on meanwhile, as for a stopped process but not for a suspended machine. */
   resume (counted: boolean): void {
-    if (!counted) this.missed += this.clock.now() - (this.pausedAt ?? this.clock.now())
+    if (!counted) this.uncounted += this.clock.now() - (this.pausedAt ?? this.clock.now())
     this.pausedAt = undefined
-    for (const task of this.held.splice(0)) task()
+    for (const task of this.pending.splice(0)) task()
   }
 }
--- a/test/helpers/simulate-choice.ts
+++ b/test/helpers/simulate-choice.ts
@@ -28,7 +28,7 @@
   const weights = Array.from({ length: prefixes }, (_, i) => 1 / (i + 1))
   const total = weights.reduce((sum, weight) => sum + weight, 0)
   let hits = 0
-  let uneven = 0
+  let unevenness = 0
   for (let now = 0; now < requests; now++) {
     for (let i = ends.length - 1; i >= 0; i--) if (ends[i]!.at <= now) loads.set(ends[i]!.name, loads.get(ends.splice(i, 1)[0]!.name)! - 1)
     const prefix = drawPrefix(weights, total, random)
@@ -43,9 +43,9 @@
     loads.set(name, loads.get(name)! + 1)
     ends.push({ at: now + inFlight * (0.5 + random.next()), name })
     const all = [...loads.values()]
-    uneven += Math.max(...all) / (all.reduce((sum, load) => sum + load, 0) / servers)
+    unevenness += Math.max(...all) / (all.reduce((sum, load) => sum + load, 0) / servers)
   }
-  return { hits: hits / requests, unevenness: uneven / requests }
+  return { hits: hits / requests, unevenness: unevenness / requests }
 }
 
 function drawPrefix (weights: readonly number[], total: number, random: Random): number {
--- a/test/helpers/simulate-crashes.ts
+++ b/test/helpers/simulate-crashes.ts
@@ -33,30 +33,30 @@
   readonly later?: readonly number[]
 }
 
-export interface Outcome { readonly ended: number, /** Refusals of requests that do nothing wrong. */ readonly refused: readonly string[], readonly slowest: number }
+export interface CrashOutcome { readonly ended: number, /** Refusals of requests that do nothing wrong. */ readonly refused: readonly string[], readonly slowest: number }
 
-interface Cut { readonly daemon: number, readonly notice: () => void }
+interface PendingSend { readonly daemon: number, readonly onLost: () => void }
 
-const POISON = 'crash'
-const FRAME = 2
+const CRASHING_BODY = 'crash'
+const FRAME_LATENCY = 2
 /** How long a connection seems open after the end of its server, ms. */
-const STALE = 10
+const STALE_PERIOD = 10
 
 /** Daemons with all their parts but sockets before engines that one request crashes, on virtual time. */
-export async function simulateCrashes (options: Options): Promise<Outcome> {
+export async function simulateCrashes (options: Options): Promise<CrashOutcome> {
   const { seed, daemons = 4, engines = 4, lost = 0, busy = 0, disagree = false, crashes = 1, later = [1_500, 4_000, 9_000] } = options
   const random = new Random(seed)
   const clock = new VirtualClock()
-  const up = new Map(Array.from({ length: engines }, (_, i) => [`engine-${i}`, new Set<Cut>()]))
+  const pendingSends = new Map(Array.from({ length: engines }, (_, i) => [`engine-${i}`, new Set<PendingSend>()]))
   const names = Array.from({ length: daemons }, (_, i) => `entry-${i}`)
-  const windows = names.map(() => random.next() < 0.5 ? { begin: 40 + random.below(300), length: random.below(busy + 1) } : { begin: 0, length: 0 })
-  const [blind, unseen] = [random.below(daemons), random.below(daemons)]
+  const busyPeriods = names.map(() => random.next() < 0.5 ? { begin: 40 + random.below(300), length: random.below(busy + 1) } : { begin: 0, length: 0 })
+  const [viewer, hidden] = [random.below(daemons), random.below(daemons)]
   const handlers = new Map<string, (message: PeerMessage, from: string) => void>()
-  const last = new Map<string, number>()
+  const lastArrivals = new Map<string, number>()
 
   /** When the daemon takes in what comes to it now. */
   const findDue = (daemon: number, delay: number): number => {
-    const { begin, length } = windows[daemon]!
+    const { begin, length } = busyPeriods[daemon]!
     const at = clock.now() + delay
     return at >= begin && at < begin + length ? begin + length : at
   }
@@ -67,14 +67,14 @@
     const links = {
       send: (to: string, message: PeerMessage) => {
         if (random.next() < lost) return
-        const due = Math.max(last.get(`${name} ${to}`) ?? 0, findDue(names.indexOf(to), FRAME + random.below(3)))
-        last.set(`${name} ${to}`, due)
+        const due = Math.max(lastArrivals.get(`${name} ${to}`) ?? 0, findDue(names.indexOf(to), FRAME_LATENCY + random.below(3)))
+        lastArrivals.set(`${name} ${to}`, due)
         clock.after(due - clock.now(), () => handlers.get(to)!(message, name))
       }
     } as unknown as PeerLinks
     const members = {
       all: () => names.map(instance => ({ instance: { name: instance }, state: 'alive' })),
-      owners: () => disagree && daemon === blind && clock.now() < 2_000 ? names.filter((_, i) => i !== unseen) : names
+      owners: () => disagree && daemon === viewer && clock.now() < 2_000 ? names.filter((_, i) => i !== hidden) : names
     } as unknown as Members
     const settings = { instance: name } as unknown as Settings
     const quarantine = new Quarantine(members, links, { record: () => {} } as unknown as Timeline, settings, clock, { write: () => {} })
@@ -85,7 +85,7 @@
 
     const ejected = new Set<string>()
     const counts = new Map<string, number>()
-    const inPool = (): readonly BackendServer[] => [...up.keys()].map((server): BackendServer => {
+    const inPool = (): readonly BackendServer[] => [...pendingSends.keys()].map((server): BackendServer => {
       const inFlight = counts.get(server) ?? 0
       return { name: server, pool: 'p', failureDomain: server, url: server, leaving: false, inFlight, load: inFlight, limit: ejected.has(server) ? 0 : 64 }
     })
@@ -109,23 +109,23 @@
         finish(Err({ why: 'cut', sent: true, detail: '' }))
       }
       clock.after(1, () => {
-        const there = up.get(server.name)!
+        const pending = pendingSends.get(server.name)!
         // A kept connection takes what is written to it until the word of its end has come.
-        sent = !isDown(server.name) || clock.now() - down.get(server.name)! < STALE
+        sent = !isDown(server.name) || clock.now() - crashedAt.get(server.name)! < STALE_PERIOD
         if (!sent) {
           ejected.add(server.name)
           return deliver(daemon, 1, () => finish(Err({ why: 'unreachable', sent: false, detail: '' })))
         }
         if (isDown(server.name)) return deliver(daemon, 1, lose)
-        const cut: Cut = { daemon, notice: lose }
-        there.add(cut)
-        const crash = String(request.body) === POISON && random.next() < crashes
+        const pendingSend: PendingSend = { daemon, onLost: lose }
+        pending.add(pendingSend)
+        const crash = String(request.body) === CRASHING_BODY && random.next() < crashes
         clock.after(crash ? 1 + random.below(30) : 1_500 + random.below(2_500), () => {
-          if (!there.delete(cut)) return
+          if (!pending.delete(pendingSend)) return
           if (!crash) return deliver(daemon, 1, () => finish(Ok({} as OpenExchange)))
-          down.set(server.name, clock.now())
-          for (const other of [cut, ...there]) deliver(other.daemon, 1 + random.below(10), other.notice)
-          there.clear()
+          crashedAt.set(server.name, clock.now())
+          for (const other of [pendingSend, ...pending]) deliver(other.daemon, 1 + random.below(10), other.onLost)
+          pending.clear()
         })
       })
     })
@@ -140,8 +140,8 @@
       return answer
     }
   }
-  const down = new Map<string, number>()
-  const isDown = (server: string): boolean => down.has(server)
+  const crashedAt = new Map<string, number>()
+  const isDown = (server: string): boolean => crashedAt.has(server)
   const sends = names.map((_, daemon) => create(daemon))
   const refused: string[] = []
   let slowest = 0
@@ -150,15 +150,15 @@
       const begin = clock.now()
       const request: ServerRequest = { id: body, caller: 'c', service: 's', pool: 'p', work: 'online', method: 'POST', path: '/', headers: {}, body: Buffer.from(body), idempotent: true, deadline: begin + 30_000, limit: 64 }
       void sends[daemon]!(request).then(answer => {
-        if (body === POISON) return
+        if (body === CRASHING_BODY) return
         slowest = Math.max(slowest, clock.now() - begin)
         if (answer.err) refused.push(`${body}: ${JSON.stringify(answer.val)}`)
       })
     })
   }
   for (let i = 0; i < 12; i++) ask(i % daemons, random.below(20), `bystander ${i}`)
-  for (let i = 0; i < 6; i++) ask(random.below(daemons), 50 + random.below(20), POISON)
-  for (const at of later) ask(random.below(daemons), at, POISON)
+  for (let i = 0; i < 6; i++) ask(random.below(daemons), 50 + random.below(20), CRASHING_BODY)
+  for (const at of later) ask(random.below(daemons), at, CRASHING_BODY)
   await clock.advance(45_000)
-  return { ended: down.size, refused, slowest }
+  return { ended: crashedAt.size, refused, slowest }
 }
--- a/test/helpers/simulate-pool-queue.ts
+++ b/test/helpers/simulate-pool-queue.ts
@@ -18,52 +18,52 @@
 export interface CallerOutcome { asked: number, answered: number, refused: number, held: number, waits: number[], refusedAfter: number[] }
 
 /** Runs a `PoolQueue` before a model of servers on virtual time: Poisson arrivals, `places` requests at once. */
-export function simulatePoolQueue ({ callers, capacity: places, holdTime: hold, duration, longestWait = 500, seed = 1 }: SimulationOptions): Readonly<Record<string, CallerOutcome>> {
+export function simulatePoolQueue ({ callers, capacity, holdTime, duration, longestWait = 500, seed = 1 }: SimulationOptions): Readonly<Record<string, CallerOutcome>> {
   const random = new Random(seed)
   const queue = new PoolQueue({ longestWait: () => longestWait })
-  const got: Record<string, CallerOutcome> = Object.fromEntries(callers.map(({ name }) => [name, { asked: 0, answered: 0, refused: 0, held: 0, waits: [], refusedAfter: [] }]))
+  const outcomes: Record<string, CallerOutcome> = Object.fromEntries(callers.map(({ name }) => [name, { asked: 0, answered: 0, refused: 0, held: 0, waits: [], refusedAfter: [] }]))
   const events: { readonly at: number, readonly run: () => void }[] = []
   let now = 0
-  let busy = 0
-  const plan = (at: number, run: () => void): void => {
+  let inUse = 0
+  const schedule = (at: number, run: () => void): void => {
     const index = events.findIndex(event => event.at > at)
     events.splice(index < 0 ? events.length : index, 0, { at, run })
   }
   const start = ({ name, share }: SimulatedCaller, asked: number, cost: number): void => {
-    const time = hold * (0.5 + random.next())
-    busy++
-    got[name]!.waits.push(now - asked)
-    plan(now + time, () => {
-      busy--
-      got[name]!.answered++
-      got[name]!.held += time
+    const time = holdTime * (0.5 + random.next())
+    inUse++
+    outcomes[name]!.waits.push(now - asked)
+    schedule(now + time, () => {
+      inUse--
+      outcomes[name]!.answered++
+      outcomes[name]!.held += time
       queue.settle(name, share, { cost, time })
       while (queue.peek()?.hasCapacity() === true) queue.take()
     })
   }
   const arrive = (caller: SimulatedCaller): void => {
     const { name, share, rate } = caller
-    plan(now - Math.log(1 - random.next()) * 1_000 / rate, () => arrive(caller))
-    got[name]!.asked++
-    if (queue.size === 0 && busy < places) return start(caller, now, queue.admit(name, share))
+    schedule(now - Math.log(1 - random.next()) * 1_000 / rate, () => arrive(caller))
+    outcomes[name]!.asked++
+    if (queue.size === 0 && inUse < capacity) return start(caller, now, queue.admit(name, share))
     const asked = now
     let settled = false
     const refuse = (): void => {
       settled = true
-      got[name]!.refused++
-      got[name]!.refusedAfter.push(now - asked)
+      outcomes[name]!.refused++
+      outcomes[name]!.refusedAfter.push(now - asked)
     }
-    const leave = queue.add({ caller: name, share, deadline: now + 10_000, hasCapacity: () => busy < places, refuse, start: cost => { settled = true; start(caller, asked, cost) } }, now)
-    plan(now + longestWait, () => {
+    const leave = queue.add({ caller: name, share, deadline: now + 10_000, hasCapacity: () => inUse < capacity, refuse, start: cost => { settled = true; start(caller, asked, cost) } }, now)
+    schedule(now + longestWait, () => {
       if (settled) return
       leave()
       refuse()
     })
   }
-  for (const caller of callers) plan(0, () => arrive(caller))
+  for (const caller of callers) schedule(0, () => arrive(caller))
   for (let next = events.shift(); next !== undefined && next.at < duration; next = events.shift()) {
     now = next.at
     next.run()
   }
-  return got
+  return outcomes
 }
--- a/test/helpers/strict-server.ts
+++ b/test/helpers/strict-server.ts
@@ -5,7 +5,7 @@
 const REQUEST_LINE = /^[A-Z]+ (\/[!-~]*|\*) HTTP\/1\.1$/
 const HEADER = /^[!#$%&'*+.^_`|~0-9A-Za-z-]+:[ \t]*[\t\x20-\x7e\x80-\xff]*$/
 const REFUSAL = 'HTTP/1.1 400 Bad Request\r\nconnection: close\r\ncontent-length: 0\r\n\r\n'
-const LONGEST_LINE_SHOWN = 60
+const MAX_BYTES_SHOWN = 60
 
 /** One request as its head came in. `read` counts the bytes of its body so far; `handed` resolves once all of it was read. */
 export interface StrictRequest {
@@ -18,10 +18,10 @@
   read: number
 }
 
-interface OpenBody { readonly request: StrictRequest, readonly finish: () => void }
+interface PendingBody { readonly request: StrictRequest, readonly finish: () => void }
 
 /** What was read on a connection and not yet understood, and the body that is due there. */
-interface Connection { readonly number: number, readonly socket: Socket, waiting: Buffer, body?: OpenBody }
+interface Connection { readonly number: number, readonly socket: Socket, buffered: Buffer, body?: PendingBody }
 
 /**
  * A TCP server that reads HTTP/1.1 requests on kept connections and takes nothing on trust: `violations` lists each place
@@ -55,32 +55,32 @@
   }
 
   private accept (socket: Socket): void {
-    const connection: Connection = { number: this.connections++, socket, waiting: Buffer.alloc(0) }
+    const connection: Connection = { number: this.connections++, socket, buffered: Buffer.alloc(0) }
     this.sockets.add(socket)
     socket.on('error', () => socket.destroy())
     socket.on('close', () => this.sockets.delete(socket))
     socket.on('data', bytes => {
-      connection.waiting = Buffer.concat([connection.waiting, bytes])
+      connection.buffered = Buffer.concat([connection.buffered, bytes])
       while (!socket.destroyed && this.readNext(connection)) continue
     })
   }
 
   /** Whether there may be more to read in what has come. */
   private readNext (connection: Connection): boolean {
-    const { waiting, body } = connection
+    const { buffered, body } = connection
     if (body !== undefined) {
-      connection.waiting = this.readBody(body, waiting)
+      connection.buffered = this.readBody(body, buffered)
       if (body.request.read === body.request.length) connection.body = undefined
-      return connection.waiting.length > 0
+      return connection.buffered.length > 0
     }
-    const end = waiting.indexOf(HEAD_END)
+    const end = buffered.indexOf(HEAD_END)
     if (end < 0) return false
-    connection.waiting = waiting.subarray(end + HEAD_END.length)
-    connection.body = this.readHead(connection, waiting.toString('latin1', 0, end))
-    return connection.waiting.length > 0
+    connection.buffered = buffered.subarray(end + HEAD_END.length)
+    connection.body = this.readHead(connection, buffered.toString('latin1', 0, end))
+    return connection.buffered.length > 0
   }
 
-  private readBody ({ request, finish }: OpenBody, bytes: Buffer): Buffer {
+  private readBody ({ request, finish }: PendingBody, bytes: Buffer): Buffer {
     const part = bytes.subarray(0, request.length - request.read)
     if (!part.equals(Buffer.alloc(part.length, request.headers.get('x-fill') ?? ''))) this.violations.push(`other bytes in a body: ${showBytes(part)}`)
     request.read += part.length
@@ -88,7 +88,7 @@
     return bytes.subarray(part.length)
   }
 
-  private readHead ({ number, socket }: Connection, head: string): OpenBody | undefined {
+  private readHead ({ number, socket }: Connection, head: string): PendingBody | undefined {
     const [line = '', ...fields] = head.split('\r\n')
     const bad = REQUEST_LINE.test(line) ? fields.find(field => !HEADER.test(field)) : line
     if (bad !== undefined) {
@@ -114,5 +114,5 @@
 }
 
 function showBytes (bytes: Buffer): string {
-  return JSON.stringify(bytes.toString('latin1', 0, LONGEST_LINE_SHOWN))
+  return JSON.stringify(bytes.toString('latin1', 0, MAX_BYTES_SHOWN))
 }
--- a/test/whole/machines.test.ts
+++ b/test/whole/machines.test.ts
@@ -162,7 +162,7 @@
   const daemon = fleet.daemons[0]!
   const submit = async (): Promise<number> => (await call(daemon.ports.front, '/drafts/', { id: 'half', body: { items: [{ id: 'half-1', path: '/drafts/half', headers: {}, body: 'eA==', tokens: 10 }] } })).status
   try {
-    fleet.store.faults = { refuses: 'job-items' }
+    fleet.store.faults = { refusedKind: 'job-items' }
     t.is(await submit(), 502)
     daemon.child!.signal('SIGKILL')
     await daemon.child!.waitForExit()
