--- a/test/helpers/create-links.ts
+++ b/test/helpers/create-links.ts
@@ -12,7 +12,7 @@
 import { MemoryStore } from '../../stand-ins/platform/memory-store.js'
 import type { VirtualClock } from './virtual-clock.js'
 
-/** Started links over loopback that take in messages of the type `test`. */
+/** Starts links over loopback that receive messages of the type `test`. */
 export async function createLinks (instance: string, clock: VirtualClock, peerKey = 'key') {
   const settings = { instance, peerKey, listen: { host: '127.0.0.1', port: 0, peerPort: 0 } } as unknown as Settings
   const events = new EventEmitter()
--- a/test/helpers/dispatch-bench.ts
+++ b/test/helpers/dispatch-bench.ts
@@ -18,7 +18,7 @@
 
 interface BenchOptions { readonly ports: readonly number[], readonly resume?: boolean, readonly maxInFlight?: number }
 
-/** The sending part of one daemon in this process, before servers that listen on `ports`. */
+/** The request dispatch of one daemon, run in this process against servers on `ports`. */
 export class DispatchBench {
   readonly container = root.createChildContainer()
   readonly dispatcher: Dispatcher
@@ -42,7 +42,7 @@
     this.dispatcher = this.container.resolve(Dispatcher)
   }
 
-  /** Starts engines in this process, and a bench before them. */
+  /** Starts `count` engines in this process and a bench that dispatches to them. */
   static async start (count: number, options: Partial<BenchOptions> = {}): Promise<{ readonly bench: DispatchBench, readonly urls: readonly string[], readonly stop: () => Promise<void> }> {
     const engines = Array.from({ length: count }, () => new Engine())
     const ports = await Promise.all(engines.map(async engine => await engine.listen(0)))
--- a/test/helpers/job-fleet.ts
+++ b/test/helpers/job-fleet.ts
@@ -21,17 +21,17 @@
 import { PausableClock } from './pausable-clock.js'
 import { VirtualClock } from './virtual-clock.js'
 
-/** What the job of the fleet consists of. */
+/** Items of the submitted job. */
 const ITEMS: readonly JobItem[] = ['a', 'b', 'c', 'd', 'e', 'f'].map(id => ({ id, path: `/jobs/${id}`, headers: {}, body: 'eA==', tokens: 10 }))
 const NAMES = ['d1', 'd2', 'd3', 'd4', 'd5']
-/** How long membership takes to find a silent daemon dead, and to find it back, ms. */
+/** Time until membership considers a paused daemon dead, and a resumed one alive again, ms. */
 const DETECTION_DELAY = 2_500
 const RECOVERY_DELAY = 500
 /** How long results of a job are kept, ms. */
 const RESULT_KEEP = 120_000
 interface Daemon { readonly name: string, readonly clock: PausableClock, readonly pauses: PauseWatch, readonly registry: JobRegistry, readonly records: JobRecords, readonly owner: JobOwner, readonly reader: JobReader, finish: (item: string) => void }
 
-/** Daemons with their books, owners and readers, on virtual time; what is sent to one that is held for dead is lost. */
+/** Daemons with their job registries, owners and readers on virtual time. Messages from or to a daemon considered dead are lost. */
 export class JobFleet {
   static readonly items = ITEMS
   static readonly names = NAMES
@@ -39,9 +39,9 @@
   readonly time = new VirtualClock()
   readonly store = new MemoryStore()
   readonly daemons = new Map<string, Daemon>()
-  /** Whether a message is lost on its way. */
+  /** Whether a message between two daemons is lost. */
   loses: (from: string, to: string, message: PeerMessage) => boolean = () => false
-  /** Whether a daemon has another one among its members. */
+  /** Whether the daemon `name` has `other` among its members. */
   isMember: (name: string, other: string) => boolean = () => true
   private readonly dead = new Set<string>()
   private readonly handlers = new Map<string, PeerHandler[]>()
@@ -51,12 +51,13 @@
     await this.time.advance(100)
   }
 
-  /** Ends a daemon that owns nothing, and starts it anew. */
+  /** Replaces a daemon that owns nothing by a new process of the same name. */
   restart (name: string): void {
     this.daemons.get(name)!.clock.pause()
     this.daemons.set(name, this.createDaemon(name))
   }
 
+  /** Pauses a daemon for `pause` ms; `counted` says whether its steady clock advances meanwhile. */
   async pause (name: string, pause: number, counted: boolean): Promise<void> {
     const { clock } = this.daemons.get(name)!
     if (clock.isPaused) return
--- a/test/helpers/measure-account.ts
+++ b/test/helpers/measure-account.ts
@@ -9,23 +9,24 @@
 import { findShard } from '../../src/admission/find-shard.js'
 import type { ObjectStore } from '../../src/store/object-store.js'
 
-/** How the account gets to the platform: parts rewritten, a part a flush, or told to a relay or a partner besides. */
+/** How accounts reach the platform: by rewriting a part, by a new part for each flush, or by reports to a relay or a partner daemon. */
 type ReportPath = 'rewrite' | 'delta' | 'relay' | 'partner'
 
 interface MeasureOptions {
   readonly way: ReportPath
-  /** Time between flushes, ms, and requests that set one off. */
+  /** Time between flushes, ms. */
   readonly period: number
+  /** Unflushed requests that trigger a flush. */
   readonly lead: number
-  /** Daemons that are run; figures are for `fleet` of them. */
+  /** Daemons that are simulated; the result is scaled to `fleet` daemons. */
   readonly daemons?: number
   readonly fleet?: number
-  /** Callers that ask at one daemon. */
+  /** Callers of one daemon. */
   readonly callers: number
   readonly seconds?: number
 }
 
-/** Of the whole fleet, a second; what a kill at a random moment loses, in requests of the one daemon. */
+/** Rates per second of the whole fleet; `lostMean` and `lostMost` are the requests of one daemon that a crash loses from the account. */
 interface Measurement { writes: number, bytes: number, peerBytes: number, lostMean: number, lostMost: number, folds: number }
 
 const REQUESTS_PER_SECOND = 25
@@ -33,7 +34,7 @@
 const DOMAINS = 6
 const START = Date.UTC(2026, 11, 2, 1)
 
-/** Runs daemons by the second, each with its own callers at the target's rate, and counts what their accounts write. */
+/** Simulates daemons in steps of a second, each with its own callers at the target rate, and counts what their accounts write. */
 export async function measureAccount ({ way, period, lead, daemons = 19, fleet = 380, callers, seconds = 600 }: MeasureOptions): Promise<Measurement> {
   const sum: Measurement = { writes: 0, bytes: 0, peerBytes: 0, lostMean: 0, lostMost: 0, folds: 0 }
   const relayed: Record<number, Record<string, AccountRows[string]>> = {}
@@ -67,7 +68,7 @@
   return { ...sum, writes: way === 'relay' ? sum.writes : sum.writes * scale, bytes: way === 'relay' ? sum.bytes : sum.bytes * scale, peerBytes: sum.peerBytes * scale, folds: sum.folds * scale }
 }
 
-/** A relay a failure domain: each shard written every ten seconds, with the rows of a domain's callers. */
+/** Sets the writes of one relay per failure domain, which writes each shard once per `REPORT_PERIOD` with the rows of its callers. */
 function addRelay (sum: Measurement, relayed: Readonly<Record<number, AccountRows>>, callers: number): void {
   const rows = Object.values(relayed).flatMap(shard => Object.values(shard))
   const rowBytes = rows.reduce((bytes, counts) => bytes + JSON.stringify(counts).length + 40, 0) / Math.max(1, rows.length)
@@ -77,7 +78,7 @@
 
 function countSecond (account: Account, callers: number, daemon: number, second: number): void {
   for (let i = 0; i < REQUESTS_PER_SECOND; i++) {
-    // Spread as multiplication by a large prime spreads it; the same in each run.
+    // A multiplicative hash in place of a random draw, so that each run is the same.
     const draw = ((daemon * 7_919 + second * REQUESTS_PER_SECOND + i) * 2_654_435_761) % 4_294_967_296 / 4_294_967_296
     const caller = `organisation-${Math.floor(draw * draw * callers)}`
     const service = `model-${(i + second) % 2}`
--- a/test/helpers/measure-links.ts
+++ b/test/helpers/measure-links.ts
@@ -1,4 +1,4 @@
-// Prints what the links of an idle fleet of processes carry, by type of message, with proofs, seals and envelopes:
+// Prints the bytes per second that the links of an idle fleet carry, by message type, including authentication and framing:
 // npx tsx --tsconfig tsconfig.run.json test/helpers/measure-links.ts 6 20
 import { request } from 'undici'
 import { Fleet } from '../../harness/fleet.js'
--- a/test/helpers/measure-membership.ts
+++ b/test/helpers/measure-membership.ts
@@ -1,6 +1,6 @@
-// Prints what membership costs and how soon it tells, for each number of members given:
+// Prints the traffic, CPU share and detection time of membership for each given number of members:
 // npx tsx --tsconfig tsconfig.run.json test/helpers/measure-membership.ts 6 48 380
-// With --lost 63 so many are lost at once, a failure domain, in place of one.
+// --lost 63 stops 63 members at once, as when a failure domain is lost, instead of one.
 import { parseArgs } from 'node:util'
 import { MemberSimulation } from './simulate-members.js'
 
--- a/test/helpers/memory-transport.ts
+++ b/test/helpers/memory-transport.ts
@@ -6,13 +6,14 @@
 import { ObjectTable } from '../../stand-ins/platform/object-table.js'
 import type { PlatformFaults } from '../../stand-ins/platform/platform-faults.js'
 
+/** Of each call, ms. */
 const LATENCY = 2
 const MS_PER_SECOND = 1_000
 
 /** The stand-in platform on virtual time, shared by the clients of a test. */
 export class MemoryTransport implements ApiTransport {
   readonly objects = new ObjectTable()
-  /** When each call came, and whether it was refused for the rate. */
+  /** All calls received, and whether the rate limit refused them. */
   readonly calls: Array<{ readonly at: number, readonly type: ApiCall['type'], refused: boolean }> = []
   private plan = new FaultPlan({})
   private second = { at: -1, reads: 0, writes: 0 }
--- a/test/helpers/pausable-clock.ts
+++ b/test/helpers/pausable-clock.ts
@@ -1,11 +1,11 @@
 import type { Clock } from '../../src/kernel/clock.js'
 import type { VirtualClock } from './virtual-clock.js'
 
-/** The clock of one process of several on virtual time, which can stand still: what falls due meanwhile runs when it goes on. */
+/** The clock of one of several processes on virtual time. While it is paused, one-shot timers wait for resumption and periodic ones are skipped. */
 export class PausableClock implements Clock {
   private readonly pending: Array<() => void> = []
   private pausedAt: number | undefined
-  /** Time that the steady clock didn't count, ms. */
+  /** Total time for which the steady clock was stopped, ms. */
   private uncounted = 0
 
   constructor (private readonly clock: VirtualClock) {}
@@ -35,7 +35,7 @@
     return this.clock.every(period, () => { if (!this.isPaused) task() })
   }
 
-  /** Runs `task` now, or when the process goes on. */
+  /** Runs `task` now, or on resumption if the process is paused. */
   run (task: () => void): void {
     if (this.isPaused) this.pending.push(task)
     else task()
@@ -45,7 +45,7 @@
     this.pausedAt = this.clock.now()
   }
 
-  /** Goes on; `counted` says whether the steady clock went on meanwhile, as for a stopped process but not for a suspended machine. */
+  /** Resumes the process. `counted` says whether the steady clock advanced meanwhile, as it does for a stopped process but not for a suspended machine. */
   resume (counted: boolean): void {
     if (!counted) this.uncounted += this.clock.now() - (this.pausedAt ?? this.clock.now())
     this.pausedAt = undefined
--- a/test/helpers/raw-server.ts
+++ b/test/helpers/raw-server.ts
@@ -2,7 +2,7 @@
 import type { AddressInfo } from 'node:net'
 import { once } from 'node:events'
 
-/** A TCP server that answers each request by hand. `requests` are what it was sent, each with its connection's number. */
+/** A TCP server whose `answer` callback writes raw bytes for each chunk received. `requests` holds the chunks with the numbers of their connections. */
 export class RawServer {
   readonly requests: { readonly connection: number, readonly text: string }[] = []
   private readonly sockets = new Set<Socket>()
@@ -27,6 +27,7 @@
     return Object.assign(raw, { port: (server.address() as AddressInfo).port })
   }
 
+  /** Number of open connections. */
   get open (): number {
     return [...this.sockets].filter(({ destroyed }) => !destroyed).length
   }
--- a/test/helpers/simulate-choice.ts
+++ b/test/helpers/simulate-choice.ts
@@ -3,22 +3,22 @@
 import { chooseServer } from '../../src/routing/choose-server.js'
 
 interface ChoiceOptions {
-  /** How the key of a request follows from its prefix; undefined for a choice without keys. */
+  /** Whether requests have their prefix as affinity key, and whether load bounds the affinity. */
   readonly policy: 'two choices' | 'affinity' | 'affinity without bound'
   readonly servers?: number
-  /** Prefixes that each server's cache holds. */
+  /** Prefixes that the cache of a server holds. */
   readonly cached?: number
   readonly prefixes?: number
-  /** Requests in flight at all servers together, on average. */
+  /** Mean number of requests in flight over all servers. */
   readonly inFlight?: number
   readonly requests?: number
   readonly seed?: number
 }
 
-/** Share of requests whose prefix was in their server's cache, and how uneven the load was. */
-interface ChoiceOutcome { readonly hits: number, /** Mean over time of the highest load over the mean one. */ readonly unevenness: number }
+/** `hits` is the share of requests whose prefix was cached at their server. */
+interface ChoiceOutcome { readonly hits: number, /** Mean over time of the highest load divided by the mean load. */ readonly unevenness: number }
 
-/** Sends requests with prefixes of Zipf popularity to servers with LRU caches; each request holds its place for as many arrivals as give `inFlight`. */
+/** Simulates requests with Zipf-distributed prefixes and servers with LRU caches. A request is in flight for about `inFlight` arrivals. */
 export function simulateChoice ({ policy, servers = 8, cached = 40, prefixes = 200, inFlight = 64, requests = 20_000, seed = 1 }: ChoiceOptions): ChoiceOutcome {
   const random = new Random(seed)
   const names = Array.from({ length: servers }, (_, i) => `server-${i}`)
--- a/test/helpers/simulate-crashes.ts
+++ b/test/helpers/simulate-crashes.ts
@@ -23,26 +23,26 @@
   readonly engines?: number
   /** Share of frames between daemons that are lost. */
   readonly lost?: number
-  /** Longest time for which a daemon takes nothing in, ms. */
+  /** Longest time for which a daemon processes nothing, ms. */
   readonly busy?: number
-  /** Whether one daemon leaves another out of those that may give trials out, for two seconds. */
+  /** Whether, for the first two seconds, one daemon lacks another among those that may grant trials. */
   readonly disagree?: boolean
-  /** Share of the runs of the crashing request that crash. */
+  /** Probability that a run of the crashing request crashes its engine. */
   readonly crashes?: number
-  /** Times, in ms, at which the crashing request comes again, six copies having come at once. */
+  /** Times, ms, at which the crashing request is sent again after six initial copies. */
   readonly later?: readonly number[]
 }
 
-export interface CrashOutcome { readonly ended: number, /** Refusals of requests that do nothing wrong. */ readonly refused: readonly string[], readonly slowest: number }
+export interface CrashOutcome { /** Engines that crashed. */ readonly ended: number, /** Refusals of harmless requests. */ readonly refused: readonly string[], readonly slowest: number }
 
 interface PendingSend { readonly daemon: number, readonly onLost: () => void }
 
 const CRASHING_BODY = 'crash'
 const FRAME_LATENCY = 2
-/** How long a connection seems open after the end of its server, ms. */
+/** How long a connection still seems open after its server crashed, ms. */
 const STALE_PERIOD = 10
 
-/** Daemons with all their parts but sockets before engines that one request crashes, on virtual time. */
+/** Simulates, on virtual time and without sockets, daemons and engines that one kind of request crashes. */
 export async function simulateCrashes (options: Options): Promise<CrashOutcome> {
   const { seed, daemons = 4, engines = 4, lost = 0, busy = 0, disagree = false, crashes = 1, later = [1_500, 4_000, 9_000] } = options
   const random = new Random(seed)
@@ -54,7 +54,7 @@
   const handlers = new Map<string, (message: PeerMessage, from: string) => void>()
   const lastArrivals = new Map<string, number>()
 
-  /** When the daemon takes in what comes to it now. */
+  /** Returns the time at which the daemon processes what reaches it in `delay` ms. */
   const findDue = (daemon: number, delay: number): number => {
     const { begin, length } = busyPeriods[daemon]!
     const at = clock.now() + delay
@@ -110,7 +110,7 @@
       }
       clock.after(1, () => {
         const pending = pendingSends.get(server.name)!
-        // A kept connection takes what is written to it until the word of its end has come.
+        // A kept-alive connection accepts writes until the daemon receives the server's close.
         sent = !isDown(server.name) || clock.now() - crashedAt.get(server.name)! < STALE_PERIOD
         if (!sent) {
           ejected.add(server.name)
--- a/test/helpers/simulate-fleet-queues.ts
+++ b/test/helpers/simulate-fleet-queues.ts
@@ -6,26 +6,26 @@
 import { planDaemonLimit } from '../../src/routing/plan-daemon-limit.js'
 import type { CallerOutcome } from './simulate-pool-queue.js'
 
-/** A caller with a share, and its requests a second at each daemon. */
+/** A caller with its share and its requests per second at each daemon. */
 export interface FleetCaller { readonly name: string, readonly share: number, readonly rates: readonly number[] }
 
 interface Options {
   readonly callers: readonly FleetCaller[]
   readonly daemons: number
-  /** Places of all servers together. */
+  /** Requests that all servers together run at once. */
   readonly capacity: number
-  /** Mean time of a place, ms. */
+  /** Mean duration of a request, ms. */
   readonly holdTime: number
   readonly duration: number
-  /** How late a daemon knows what the others have in flight, ms. */
+  /** Longest age of a daemon's counts of what the others have in flight, ms. */
   readonly lag?: number
   readonly longestWait?: number
   readonly seed?: number
-  /** How often daemons tell what is asked of them, ms; never when absent. */
+  /** Period at which daemons report their demand, ms; never when absent. */
   readonly reportPeriod?: number
 }
 
-/** Runs the gates of several daemons before common servers on virtual time; what is got is counted after a tenth. */
+/** Runs the queues of several daemons in front of shared servers on virtual time. The first tenth is warm-up and not counted. */
 export function simulateFleetQueues ({ callers, daemons, capacity, holdTime, duration, lag = 200, longestWait = 500, seed = 1, reportPeriod }: Options): Readonly<Record<string, CallerOutcome>> {
   const random = new Random(seed)
   const queues = Array.from({ length: daemons }, () => new PoolQueue({ longestWait: () => longestWait }))
--- a/test/helpers/simulate-pool-queue.ts
+++ b/test/helpers/simulate-pool-queue.ts
@@ -5,19 +5,19 @@
 
 interface SimulationOptions {
   readonly callers: readonly SimulatedCaller[]
-  /** Places of all servers together. */
+  /** Requests that all servers together run at once. */
   readonly capacity: number
-  /** Mean time of a place, ms; times are between half and one and a half of it. */
+  /** Mean duration of a request, ms; durations lie between half and one and a half of it. */
   readonly holdTime: number
   readonly duration: number
   readonly longestWait?: number
   readonly seed?: number
 }
 
-/** What one caller got; `waits` of the requests let in, ms, in order. */
+/** Request counts of one caller, the total time `held` by its requests and the queueing times `waits` of those admitted, ms. */
 export interface CallerOutcome { asked: number, answered: number, refused: number, held: number, waits: number[], refusedAfter: number[] }
 
-/** Runs a `PoolQueue` before a model of servers on virtual time: Poisson arrivals, `places` requests at once. */
+/** Runs a `PoolQueue` in front of simulated servers on virtual time: Poisson arrivals, at most `capacity` requests at once. */
 export function simulatePoolQueue ({ callers, capacity, holdTime, duration, longestWait = 500, seed = 1 }: SimulationOptions): Readonly<Record<string, CallerOutcome>> {
   const random = new Random(seed)
   const queue = new PoolQueue({ longestWait: () => longestWait })
--- a/test/helpers/strict-server.ts
+++ b/test/helpers/strict-server.ts
@@ -7,7 +7,7 @@
 const REFUSAL = 'HTTP/1.1 400 Bad Request\r\nconnection: close\r\ncontent-length: 0\r\n\r\n'
 const MAX_BYTES_SHOWN = 60
 
-/** One request as its head came in. `read` counts the bytes of its body so far; `handed` resolves once all of it was read. */
+/** A request with a complete header. `read` counts the bytes of its body so far; `handed` resolves once the whole body was read. */
 export interface StrictRequest {
   readonly connection: number
   readonly line: string
@@ -20,13 +20,13 @@
 
 interface PendingBody { readonly request: StrictRequest, readonly finish: () => void }
 
-/** What was read on a connection and not yet understood, and the body that is due there. */
+/** A connection with its bytes that aren't parsed yet, and the body that is being read. */
 interface Connection { readonly number: number, readonly socket: Socket, buffered: Buffer, body?: PendingBody }
 
 /**
- * A TCP server that reads HTTP/1.1 requests on kept connections and takes nothing on trust: `violations` lists each place
- * where other bytes stood than a request line, a header or the body that its head announced. A body must consist of the one
- * character that its `x-fill` header names. `answer` is called at the end of each head, before the body has been read.
+ * A TCP server that parses HTTP/1.1 requests on kept-alive connections strictly: `violations` lists all bytes that are neither
+ * a request line, a header nor the announced body. A body must repeat the one character given by its `x-fill` header. `answer`
+ * is called at the end of each header, before the body is read.
  */
 export class StrictServer {
   readonly requests: StrictRequest[] = []
@@ -45,7 +45,7 @@
     return new StrictServer(server, (server.address() as AddressInfo).port, answer)
   }
 
-  /** Resolves once nothing listens at the port; open connections are reset. */
+  /** Stops listening and resets open connections; resolves once the port is free. */
   async close (): Promise<void> {
     if (!this.server.listening) return
     const closed = once(this.server, 'close')
@@ -65,7 +65,7 @@
     })
   }
 
-  /** Whether there may be more to read in what has come. */
+  /** Parses the next header or piece of a body; returns whether the buffer may hold another. */
   private readNext (connection: Connection): boolean {
     const { buffered, body } = connection
     if (body !== undefined) {
--- a/test/helpers/virtual-clock.ts
+++ b/test/helpers/virtual-clock.ts
@@ -2,7 +2,7 @@
 
 interface Timer { due: number, readonly period?: number, readonly task: () => void }
 
-/** A clock that moves only when a test says so. */
+/** A clock that advances only by its methods. */
 export class VirtualClock implements Clock {
   private time = 0
   private readonly timers = new Set<Timer>()
@@ -23,7 +23,7 @@
     return this.add({ due: this.time + period, period, task })
   }
 
-  /** Moves on by `time` ms, running what falls due on the way and the promises it settles. */
+  /** Advances by `time` ms, running the timers that fall due and letting promises settle after each. */
   async advance (time: number): Promise<void> {
     const end = this.time + time
     await settle()
@@ -37,7 +37,7 @@
     this.time = end
   }
 
-  /** Jumps without running timers on the way, as a frozen process sees it. */
+  /** Jumps ahead without running timers, as a process sees it that was paused. */
   freeze (time: number): void {
     this.time += time
   }
--- a/test/helpers/write-logs.ts
+++ b/test/helpers/write-logs.ts
@@ -3,10 +3,10 @@
 import { tmpdir } from 'node:os'
 import { dirname, join } from 'node:path'
 
-/** Stamps are ms after this. */
+/** Origin of the timestamps. */
 const START = Date.parse('2026-01-24T08:00:00.000Z')
 
-/** Writes log files into a folder of their own, which goes with the test. Lines are texts, or fields with a stamp `at` in ms. */
+/** Writes log files into a temporary folder that is removed after the test. A line is text, or fields with a timestamp `at` in ms. */
 export function writeLogs (t: ExecutionContext, files: Readonly<Record<string, ReadonlyArray<string | Readonly<Record<string, unknown>>>>>): string {
   const folder = mkdtempSync(join(tmpdir(), 'logs-'))
   t.teardown(() => rmSync(folder, { recursive: true }))
