--- a/harness/child.ts
+++ b/harness/child.ts
@@ -9,7 +9,7 @@
   for (const child of running) child.kill('SIGKILL')
 })
 
-/** One process of the program, started by a script or test; it ends when the script does. */
+/** A process of the program, started by a script or test and killed when that exits. */
 export class Child {
   /** Everything it wrote to standard error. */
   errors = ''
@@ -26,7 +26,7 @@
     })
   }
 
-  /** Starts it and waits for the line in which it says where it listens. */
+  /** Starts a process and waits for its first line of output, a JSON object that tells where it listens. */
   static async start<T> (args: readonly string[], { program = BUNDLE, env = {} }: { readonly program?: readonly string[], readonly env?: Readonly<Record<string, string>> } = {}): Promise<{ readonly child: Child, readonly ready: T }> {
     const child = new Child([...program, ...args], env)
     const lines = createInterface({ input: child.process.stdout! })
@@ -37,7 +37,7 @@
     return { child, ready: JSON.parse(line) }
   }
 
-  /** Reads nothing more of what it writes to standard output. */
+  /** Stops reading its standard output. */
   pauseOutput (): void {
     this.process.stdout!.removeAllListeners('data')
     this.process.stdout!.pause()
@@ -47,12 +47,12 @@
     this.process.kill(signal)
   }
 
-  /** Hears each line that it writes to standard output from now on. */
+  /** Calls `listener` with each line that it writes to standard output from now on. */
   onLine (listener: (line: string) => void): void {
     createInterface({ input: this.process.stdout! }).on('line', listener)
   }
 
-  /** Resolves with the exit code; 137 after SIGKILL. */
+  /** Resolves with the exit code; 137 after SIGKILL, 128 after another signal. */
   async waitForExit (): Promise<number> {
     return await this.exit
   }
--- a/harness/delayed-pipe.ts
+++ b/harness/delayed-pipe.ts
@@ -2,7 +2,7 @@
 
 interface QueuedBytes { readonly due: number, readonly bytes: Buffer }
 
-/** One direction of a connection, whose bytes may be held for a while and never overtake one another. */
+/** One direction of a relayed connection. Bytes can be delayed and always keep their order. */
 export class DelayedPipe {
   private readonly queue: QueuedBytes[] = []
   private timer: NodeJS.Timeout | undefined
@@ -10,14 +10,14 @@
 
   constructor (private readonly to: Socket) {}
 
-  /** Passes bytes on after `delay` ms, and after all that is held. */
+  /** Forwards bytes after `delay` ms, but never before those already queued. */
   write (bytes: Buffer, delay: number): void {
     if (delay <= 0 && this.queue.length === 0) this.to.write(bytes)
     else this.queue.push({ due: performance.now() + delay, bytes })
     this.schedule()
   }
 
-  /** Closes the far end once all that is held has passed. */
+  /** Closes the destination once all queued bytes are forwarded. */
   close (): void {
     this.ended = true
     if (this.queue.length === 0) this.to.destroySoon()
--- a/harness/fleet.ts
+++ b/harness/fleet.ts
@@ -16,13 +16,13 @@
 const REGION = 'region-1'
 const OPERATOR_TOKEN = 'operator-of-the-trial'
 const POLL_PERIOD = 20
-/** Polls before a wait is given up: 20 s of pauses, and longer where the machine is so busy that the polls take long. */
+/** Polls before a wait times out: 20 s of pauses, plus the time that the polls take. */
 const MAX_POLLS = 1_000
-/** A wait ends before the test runner gives up and says less, ms. */
+/** Longest wait, ms: below the test runner's timeout, so that a failed wait reports its condition. */
 const MAX_WAIT = 75_000
-/** A daemon that doesn't tell its events in this time is left out, ms. */
+/** For reading a daemon's events, ms; a daemon that exceeds it is left out. */
 const TIMELINE_TIMEOUT = 2_000
-/** Events that a wait that failed shows of the fleet's time line. */
+/** Latest events of the fleet that the error of a failed wait shows. */
 const SHOWN_EVENTS = 60
 
 /** A running process and the instance it is registered as. */
@@ -32,7 +32,7 @@
 
 interface FleetOptions {
   readonly platform?: Readonly<Record<string, unknown>>
-  /** Whether the daemons are reached by way of the harness, which can then part their regions. */
+  /** Whether daemons are reached through relays, so that their regions can be partitioned. */
   readonly canPartition?: boolean
 }
 
@@ -49,7 +49,7 @@
     this.partition = canPartition ? new RegionPartition() : undefined
   }
 
-  /** Starts the platform only; daemons and servers are added to it. */
+  /** Starts a platform without daemons or servers. */
   static async start ({ platform = {}, canPartition = false }: FleetOptions = {}): Promise<Fleet> {
     const fleet = new Fleet(canPartition)
     const { child, ready } = await Child.start<{ listening: number }>(['stand-in', 'platform', '--options', JSON.stringify(platform)])
@@ -57,7 +57,7 @@
     return fleet
   }
 
-  /** The files of a folder as they are applied, by name. */
+  /** Reads the configuration files of a folder, by name. */
   static readFiles (folder: string): Readonly<Record<string, string>> {
     return Object.fromEntries(readYamlFiles(folder).unwrap())
   }
@@ -66,6 +66,7 @@
     return this.platform.url
   }
 
+  /** Starts a backend server in a process of its own and registers its instance. */
   async addServer (name: string, failureDomain: string, { pool, kind, region = REGION, options = {} }: ServerOptions): Promise<Node> {
     const { child, ready } = await Child.start<{ listening: number }>(['stand-in', kind, '--options', JSON.stringify(options)])
     const node: Node = { child, instance: { name, pool, host: HOST, port: ready.listening, failureDomain, region, state: 'live' } }
@@ -74,7 +75,7 @@
     return node
   }
 
-  /** Adds several engines that share one process, where their number matters and their speed doesn't. */
+  /** Adds engines that share one process, for trials that need many of them but no speed. */
   async addEngines (names: readonly string[], failureDomain: string, { pool, options = {} }: Omit<ServerOptions, 'kind'>): Promise<void> {
     const { child, ready } = await Child.start<{ ports: readonly number[] }>(['stand-in', 'engine', '--count', String(names.length), '--options', JSON.stringify(options)])
     for (const [i, name] of names.entries()) {
@@ -84,7 +85,7 @@
     }
   }
 
-  /** `more` are settings beside those that every daemon of a trial has. */
+  /** Starts a daemon and registers its instance. `overrides` extend or replace the default settings. */
   async addDaemon (name: string, failureDomain: string, overrides: Readonly<Record<string, unknown>> & { readonly region?: string } = {}): Promise<Node> {
     const { region = REGION } = overrides
     const file = join(this.folder, `${name}.yaml`)
@@ -109,13 +110,13 @@
     return node
   }
 
-  /** Makes the links between daemons of different regions silent, or ends that. */
+  /** Blocks or unblocks the connections between daemons of different regions. */
   setPartitioned (isPartitioned: boolean): void {
-    if (this.partition === undefined) throw new Error('this fleet was not started with canPart')
+    if (this.partition === undefined) throw new Error('this fleet was not started with canPartition')
     this.partition.setPartitioned(isPartitioned)
   }
 
-  /** Kills a process outright and, as the platform would in time, takes it off the instance list. */
+  /** Kills a process and removes it from the instance list, as the platform does after a while. */
   async kill (name: string): Promise<void> {
     const node = [...this.daemons, ...this.servers].find(({ instance }) => instance.name === name)
     if (node === undefined) throw new Error(`there is no ${name}`)
@@ -136,7 +137,7 @@
     return `http://${daemon.instance.host}:${daemon.instance.port}`
   }
 
-  /** Applies a folder or a configuration through the first daemon and waits until every daemon acts on it. */
+  /** Applies a folder or a configuration through the first daemon and waits until every daemon uses it. */
   async apply (folder: string | Omit<Configuration, 'version'>, basedOn = 0): Promise<number> {
     const files: Record<string, string> = typeof folder === 'string'
       ? Fleet.readFiles(folder)
@@ -144,7 +145,7 @@
     return await this.applyFiles(files, basedOn)
   }
 
-  /** Applies these files in place of all others, and waits as `apply` does. */
+  /** Replaces all configuration files by `files`, and waits as `apply` does. */
   async applyFiles (files: Readonly<Record<string, string>>, basedOn = 0): Promise<number> {
     const present = await this.operator('GET', this.daemons[0]!, '/operator/configuration/files')
     const remove = Object.keys(present.files).filter(name => files[name] === undefined)
@@ -155,12 +156,12 @@
       return known.every(other => other >= version)
     })
     await this.waitForServers()
-    // A fleet that still finds itself moves servers and their batch items about; trials begin with a whole one.
+    // Until all daemons see each other, servers and their batch items change owners; trials begin after that.
     if (basedOn === 0) await this.waitForOwners()
     return version
   }
 
-  /** Waits until every daemon has read of every registered server; the platform's list lags. */
+  /** Waits until every daemon lists every registered server; the platform's instance list lags. */
   async waitForServers (): Promise<void> {
     await this.waitUntil(async () => {
       const known = await Promise.all(this.daemons.map(async daemon => (await this.operator('GET', daemon, '/operator/status')).servers as string[]))
@@ -168,7 +169,7 @@
     })
   }
 
-  /** Waits until every daemon sees all of them alive. */
+  /** Waits until every daemon sees all daemons alive. */
   async waitForMembers (): Promise<void> {
     await this.waitUntil(async () => {
       const seen = await Promise.all(this.daemons.map(async daemon => (await this.operator('GET', daemon, '/operator/status')).members as ReadonlyArray<{ state: string }>))
@@ -176,7 +177,7 @@
     })
   }
 
-  /** Waits until each server has one owner: daemons that have just started each own all of them until they see each other. */
+  /** Waits until each server has one owner: daemons that have just started each own all servers until they see each other. */
   async waitForOwners (): Promise<void> {
     await this.waitForMembers()
     await this.waitUntil(async () => {
@@ -193,20 +194,19 @@
     return await this.call(method, this.platform.url + path, body)
   }
 
-  /** Sets what goes wrong at the platform from here on; {} ends all faults. */
+  /** Replaces the faults of the platform; {} ends them all. */
   async setPlatformFaults (faults: PlatformFaults): Promise<void> {
     await this.control('POST', '/control/faults', faults)
   }
 
-  /** What the server itself logged as run. */
+  /** Returns the server's own log of its runs. */
   async readLog (server: Node): Promise<readonly RunRecord[]> {
     return (await this.call('GET', `http://${HOST}:${server.instance.port}/control/log`)).runs
   }
 
   /**
-   * Polls an outside condition; the wait ends with the condition. It says of no promise that it is kept in time: a test
-   * of such a bound compares times itself. The wait is counted in polls, because on a busy machine the fleet gets less
-   * done in a second, and so does the poll. A wait that is given up tells what the daemons did last.
+   * Polls until `condition` holds. This verifies no time bound: a test of one compares times itself. The timeout counts
+   * polls, because on a busy machine the fleet and the polls slow down alike. Its error shows the daemons' latest events.
    */
   async waitUntil (condition: () => Promise<boolean>): Promise<void> {
     const start = Date.now()
@@ -217,7 +217,7 @@
     }
   }
 
-  /** The last events of the daemons that answer, as text. */
+  /** Formats the latest events of the daemons that answer. */
   private async showTimeline (): Promise<string> {
     const timelines = await Promise.all(this.daemons.map(async daemon => {
       const answer = this.operator('GET', daemon, '/operator/timeline').catch(() => undefined)
--- a/harness/machines-fleet.ts
+++ b/harness/machines-fleet.ts
@@ -13,8 +13,10 @@
 import { Child } from './child.js'
 
 const PROGRAM = [process.execPath, 'target/citronwheel.cjs']
+/** Of a wait for a condition and of the pause between two checks, ms. */
 const WAIT_TIMEOUT = 20_000
 const POLL_PERIOD = 20
+/** Ports of daemons lie below those that the system assigns to outgoing connections. */
 const FIRST_PORT = 12_000
 const LAST_PORT = 32_000
 
@@ -23,19 +25,19 @@
   readonly ports: DaemonPorts
   readonly settings: string
   child?: Child
-  /** What holds its ports until its first start. */
+  /** Listeners that reserve its ports until its first start. */
   reservedPorts: readonly ReservedPort[]
 }
 
 interface ReservedPort { readonly port: number, readonly server: Server }
 
-/** Ways other than straight ones: HOST:PORT at which a daemon finds the store, and at which all find an engine. */
+/** Addresses, HOST:PORT, at which a daemon reaches the store and at which all daemons reach an engine; direct ones by default. */
 interface MachinesFleetOptions {
   readonly resolveStoreAddress?: (daemon: number, port: number) => Promise<string>
   readonly resolveEngineAddress?: (engine: EventEngine) => Promise<string>
 }
 
-/** The store, engines and daemons of the users' machines on loopback: the daemons are processes, the others stand in here. */
+/** Store, engines and daemons of the users' platform on loopback. Daemons are processes; the stand-in store and engines run in this one. */
 export class MachinesFleet {
   readonly store = new ObjectApi()
   readonly engines: EventEngine[] = []
@@ -74,7 +76,7 @@
     let ended: number | undefined
     void child.waitForExit().then(code => { ended = code })
     await this.waitUntil('a daemon is ready', async () => {
-      if (ended !== undefined && daemon.child === child) throw new Error(`a daemon ended at its start with ${ended}: ${child.errors}`)
+      if (ended !== undefined && daemon.child === child) throw new Error(`a daemon exited during startup with ${ended}: ${child.errors}`)
       return await this.isReady(daemon)
     })
   }
@@ -85,16 +87,16 @@
     return answer?.statusCode === 200
   }
 
-  /** Addresses that a daemon names to callers. */
+  /** Returns the entry addresses that a daemon announces to callers. */
   async listAddresses ({ ports }: FleetDaemon): Promise<readonly string[]> {
     return await listAddresses(ports.directory)
   }
 
-  /** Resolves once `check` holds; fails with `what` after 20 s. */
+  /** Resolves once `check` holds; rejects with `what` after `WAIT_TIMEOUT`. */
   async waitUntil (what: string, check: () => Promise<boolean> | boolean): Promise<void> {
     const end = Date.now() + WAIT_TIMEOUT
     while (!await check()) {
-      if (Date.now() > end) throw new Error(`never came about: ${what}`)
+      if (Date.now() > end) throw new Error(`timed out waiting for: ${what}`)
       await new Promise(resolve => setTimeout(resolve, POLL_PERIOD))
     }
   }
@@ -116,8 +118,8 @@
 }
 
 /**
- * Free ports, held by servers that listen there until the daemon starts: another process that draws at the same time would take them
- * meanwhile. They lie below those from which the system draws for outgoing connections.
+ * Reserves free ports by listening on them; the caller closes the servers when the daemon starts. Without that, another fleet could
+ * choose the same ports meanwhile.
  */
 async function claimPorts (count: number): Promise<readonly ReservedPort[]> {
   const claimed: ReservedPort[] = []
--- a/harness/read-hello.ts
+++ b/harness/read-hello.ts
@@ -1,7 +1,7 @@
 import { FrameReader } from '../src/peers/frame-reader.js'
 import { plainCodec } from '../src/peers/plain-codec.js'
 
-/** The name that a daemon gives itself in the first frame of a connection that it opens to another; undefined for any other bytes. */
+/** Reads the name of the daemon that opened a connection from the connection's first frame; undefined for any other bytes. */
 export function readHello (bytes: Buffer): string | undefined {
   const reader = new FrameReader()
   reader.push(bytes)
--- a/harness/region-partition.ts
+++ b/harness/region-partition.ts
@@ -9,19 +9,19 @@
 interface PeerConnection { readonly connection: RelayedConnection, readonly opener: string | undefined, readonly acceptor: string }
 
 /**
- * Makes the connections between daemons of different regions silent for a while, with no tool but a relay: each daemon
- * tells an address of its own of the loopback network, where the harness listens and passes on to it. Who opened a
- * connection is read from its first frame. The ways to servers and to the platform stay whole.
+ * Simulates a network partition between regions with relays: each daemon announces an address of another loopback
+ * network, where a relay listens and forwards to it. The first frame of a connection names the daemon that opened it.
+ * Connections to servers and to the platform aren't relayed.
  */
 export class RegionPartition {
-  /** Another address for each process that starts fleets, so that the ports of two fleets never meet. */
+  /** Differs between processes that start fleets, so that the ports of two fleets never collide. */
   readonly host = `127.1.${process.pid >> 8 & 0xff}.${process.pid & 0xff}`
   private readonly regions = new Map<string, string>()
   private readonly relays = new Map<string, readonly Relay[]>()
   private readonly connections = new Set<PeerConnection>()
   private isPartitioned = false
 
-  /** Passes on to the daemon from here on. */
+  /** Starts relaying connections to the daemon. */
   async add ({ name, region, port, peerPort }: RelayedDaemon): Promise<void> {
     this.remove(name)
     this.regions.set(name, region)
@@ -33,12 +33,13 @@
     await Promise.all(relays.map(async relay => await relay.start()))
   }
 
-  /** Passes nothing on any more: connections to the daemon are refused, as by its instance. */
+  /** Stops listening for the daemon: connections are refused, as by the instance of a process that has ended. */
   remove (name: string): void {
     for (const relay of this.relays.get(name) ?? []) relay.close()
     this.relays.delete(name)
   }
 
+  /** Blocks or unblocks all connections between regions, open and new ones. */
   setPartitioned (isPartitioned: boolean): void {
     this.isPartitioned = isPartitioned
     for (const peer of this.connections) {
@@ -56,7 +57,7 @@
     if (this.isPartitioned && this.crossesRegions(peer)) peer.connection.setMode({ type: 'silent' })
   }
 
-  /** Asked anew each time: a daemon opens its first connections before the harness has heard where it listens. */
+  /** Not cached: a daemon opens its first connections before the harness has learned its ports and called `add`. */
   private crossesRegions ({ opener, acceptor }: PeerConnection): boolean {
     return this.regions.get(opener ?? '') !== this.regions.get(acceptor)
   }
--- a/harness/relay-mode.ts
+++ b/harness/relay-mode.ts
@@ -1,10 +1,10 @@
-/** What a relay does with a connection. `delay` in ms, for what comes from then on. */
+/** How a relay treats a connection. `delay` applies to bytes that arrive from then on, ms. */
 export type RelayMode =
   | { readonly type: 'open' }
-  /** Nothing passes, neither bytes nor the end of either side, as on a way that drops packets. */
+  /** Neither bytes nor the close of either side are forwarded, as on a network that drops all packets. */
   | { readonly type: 'silent' }
-  /** What the opener sends arrives, and nothing comes back. */
+  /** Bytes from the opener are forwarded, those to it are held back. */
   | { readonly type: 'answers held' }
   | { readonly type: 'delayed', readonly delay: number }
-  /** Open connections are reset; new ones work. */
+  /** Open connections are reset; new ones are forwarded. */
   | { readonly type: 'reset' }
--- a/harness/relay.ts
+++ b/harness/relay.ts
@@ -3,14 +3,14 @@
 import { RelayedConnection } from './relayed-connection.js'
 
 interface RelayOptions {
-  /** Where the relay listens; it passes on to the same port of 127.0.0.1. */
+  /** Where the relay listens; it forwards to the same port of 127.0.0.1. */
   readonly host: string
   readonly port: number
-  /** Hears of each connection with the first bytes that came over it, before they are passed on. */
+  /** Called for each connection with its first bytes, before they are forwarded. */
   readonly onOpen: (connection: RelayedConnection, first: Buffer) => void
 }
 
-/** Passes on what comes to a port of another loopback address to the same port of 127.0.0.1. */
+/** Forwards connections from a port of another loopback address to the same port of 127.0.0.1. */
 export class Relay {
   private readonly server: Server
 
@@ -25,7 +25,7 @@
     await listen(this.server, this.options.host, this.options.port)
   }
 
-  /** Takes no more connections; those that are open end with the processes at their ends. */
+  /** Accepts no more connections; open ones end with the processes at their ends. */
   close (): void {
     this.server.close()
   }
--- a/harness/relayed-connection.ts
+++ b/harness/relayed-connection.ts
@@ -3,8 +3,8 @@
 import type { RelayMode } from './relay-mode.js'
 
 /**
- * A connection that the harness passes on between two processes, the opener's end first. What a mode holds back comes when the mode
- * is over, as TCP sends it again.
+ * A connection relayed between two processes; the first of `ends` is the opener's. Bytes that a mode holds back are forwarded when it
+ * ends, as TCP would retransmit them.
  */
 export class RelayedConnection {
   private mode: RelayMode = { type: 'open' }
@@ -38,7 +38,7 @@
     for (const end of this.ends) end.resetAndDestroy()
   }
 
-  /** While either way is held, the end of one side isn't passed on either. */
+  /** Whether a direction is held back; meanwhile, the close of one side isn't forwarded to the other. */
   private get isHeld (): boolean {
     return this.mode.type === 'silent' || this.mode.type === 'answers held'
   }
--- a/harness/relayed-port.ts
+++ b/harness/relayed-port.ts
@@ -2,7 +2,7 @@
 import type { RelayMode } from './relay-mode.js'
 import type { RelayedConnection } from './relayed-connection.js'
 
-/** A port of 127.0.0.1 as it is reached by way of another loopback address, with what the way does to connections. */
+/** A port of 127.0.0.1 that is reached through a relay on another loopback address, with one mode for all its connections. */
 export class RelayedPort {
   private readonly relay: Relay
   private readonly connections = new Set<RelayedConnection>()
@@ -20,7 +20,7 @@
     await this.relay.start()
   }
 
-  /** Applies to the connections that are open and, but for a reset, to those that come. */
+  /** Sets the mode of open connections and, except for a reset, of new ones. */
   setMode (mode: RelayMode): void {
     this.mode = mode
     for (const connection of this.connections) {
