--- a/stand-ins/engine/add-mark.ts
+++ b/stand-ins/engine/add-mark.ts
@@ -1,6 +1,6 @@
 const MARK = '@'
 
-/** The word as a run with a mark gives it; `splitMark` takes the two apart. */
+/** Appends the mark of its run, if any, to a word; `splitMark` is the inverse. */
 export function addMark (word: string, run: string | undefined): string {
   return run === undefined ? word : `${word}${MARK}${run}`
 }
--- a/stand-ins/engine/batcher.ts
+++ b/stand-ins/engine/batcher.ts
@@ -5,9 +5,9 @@
 type BatcherParameters = Pick<EngineParameters, 'stepBase' | 'stepPerSequence' | 'prefillPerToken' | 'importPerToken' | 'prefillChunk' | 'memoryTokens' | 'blockTokens' | 'maxRunning'>
 
 /**
- * Continuous batching on virtual steps, with no clock of its own: waiting sequences join as memory and slots allow,
- * first come first served and whatever they are for. A step prefills at most a chunk of prompt tokens and gives each
- * sequence whose prompt is done one token, at its end.
+ * Continuous batching in steps, without a clock. Waiting sequences are admitted in order of arrival as memory and batch
+ * size allow, online and batch requests alike. A step prefills at most one chunk of prompt tokens; at its end, each
+ * sequence whose prompt is prefilled emits one token.
  */
 export class Batcher {
   readonly waiting: Sequence[] = []
@@ -19,7 +19,7 @@
     this.waiting.push(sequence)
   }
 
-  /** Begins a step; gives back how long it lasts in ms, 0 when there is nothing to do. */
+  /** Begins a step; returns its duration in ms, 0 if there is nothing to do. */
   beginStep (): number {
     this.removeCancelled()
     this.admit()
@@ -28,12 +28,12 @@
     return this.prefill() + stepBase + stepPerSequence * (this.running.length - 1)
   }
 
-  /** Ends the step: gives out its tokens. */
+  /** Ends the step: emits its tokens. */
   endStep (): void {
     for (const sequence of [...this.running]) if (sequence.prefillLeft === 0 && !sequence.cancelled) this.emit(sequence)
   }
 
-  /** Tokens of KV cache that running sequences hold or may come to hold. */
+  /** Tokens of KV cache reserved for running sequences. */
   get usedTokens (): number {
     return this.running.reduce((sum, sequence) => sum + countTokens(sequence), 0)
   }
@@ -57,7 +57,7 @@
     this.cache.evict(Math.floor((memoryTokens - used) / blockTokens))
   }
 
-  /** Prefills in order of arrival, up to the chunk; gives back the ms it takes. */
+  /** Prefills in order of arrival, at most one chunk; returns the time it takes, ms. */
   private prefill (): number {
     let left = this.parameters.prefillChunk
     let duration = 0
@@ -78,7 +78,7 @@
     sequence.onToken(word, last)
   }
 
-  /** What a sequence leaves of its prompt and answer stays cached as long as there is room. */
+  /** Caches the computed blocks of a sequence that left the batch, as far as memory allows. */
   private release (sequence: Sequence): void {
     const { memoryTokens, blockTokens } = this.parameters
     const tokens = sequence.contextTokens - sequence.prefillLeft + sequence.done - sequence.resumed
--- a/stand-ins/engine/cache-events.ts
+++ b/stand-ins/engine/cache-events.ts
@@ -4,7 +4,7 @@
 
 interface CacheEvent { readonly number: number, readonly at: number, readonly type: 'stored' | 'removed', readonly block: number }
 
-/** Cache events as the engine publishes them: `lag` ms late, and some never. */
+/** Cache events as the engine publishes them: `lag` ms late, and a share of them lost. */
 export class CacheEvents {
   private readonly events: CacheEvent[] = []
   private next = 1
@@ -18,7 +18,7 @@
     if (this.events.length > MAX_EVENTS) this.events.shift()
   }
 
-  /** Those after number `after` that are old enough to be told; a jump in the numbers is a gap. */
+  /** Lists the events after number `after` that are published by `now`; a jump in the numbers shows lost events. */
   list (after: number, now: number): readonly CacheEvent[] {
     return this.events.filter(({ number, at }) => number > after && at + this.lag <= now)
   }
--- a/stand-ins/engine/connections.ts
+++ b/stand-ins/engine/connections.ts
@@ -1,7 +1,7 @@
 import type { Server } from 'node:http'
 import type { Socket } from 'node:net'
 
-/** The open connections of a stand-in, oldest first, and those that have gone silent. */
+/** The open connections of a stand-in, oldest first, and which of them are stalled. */
 export class Connections {
   private readonly open = new Set<Socket>()
   private readonly stalled = new WeakSet<Socket>()
@@ -13,7 +13,7 @@
     })
   }
 
-  /** Silences up to `count` open connections but `except`: nothing more is read from them or written to them. */
+  /** Stalls up to `count` open connections other than `except`: nothing more is read from or written to them. */
   stall (count: number, except: Socket): void {
     for (const socket of [...this.open].filter(socket => socket !== except).slice(0, count)) {
       this.stalled.add(socket)
--- a/stand-ins/engine/default-parameters.ts
+++ b/stand-ins/engine/default-parameters.ts
@@ -1,6 +1,6 @@
 import type { EngineParameters } from './engine-parameters.js'
 
-/** Parameters of a small engine, fast enough for tests; see `EngineParameters` for their source. */
+/** Parameters of a small engine, fast enough for tests. */
 export const defaultParameters: EngineParameters = {
   stepBase: 2,
   stepPerSequence: 0.2,
--- a/stand-ins/engine/engine-model.ts
+++ b/stand-ins/engine/engine-model.ts
@@ -18,10 +18,10 @@
 
 const CHARACTERS_PER_TOKEN = 4
 
-/** A run that can be cancelled; nothing happens once it has ended. */
+/** A run; `cancel` has no effect once it has ended. */
 interface Run { readonly cancel: () => void }
 
-/** What a stand-in engine does, without HTTP: completions over continuous batching, load reports, orders, a log. */
+/** The stand-in engine without HTTP: completions with continuous batching, load reports, orders, and a log of runs. */
 export class EngineModel {
   readonly log: RunRecord[] = []
   readonly parameters: EngineParameters
@@ -29,7 +29,7 @@
   readonly state: EngineState
   readonly cacheEvents: CacheEvents
   readonly loop: StepLoop
-  /** Running and waiting sequences as last reported; up to `loadLag` old. */
+  /** The last load report, up to `loadLag` ms old. */
   report = { running: 0, waiting: 0 }
   private readonly batcher: Batcher
   private readonly active = new Map<string, { readonly prompt: string, readonly sequence: Sequence }>()
@@ -53,12 +53,12 @@
     clearInterval(this.reporter)
   }
 
-  /** Words of the whole answer without marks, those resumed from included. */
+  /** Lists the words of the whole answer without marks, including those resumed from. */
   listWords ({ prompt, tokens }: Completion): readonly string[] {
     return createAnswerWords(prompt, tokens)
   }
 
-  /** Starts a run and logs it. A resumed run that has nothing left to say gives its last word again. */
+  /** Starts and logs a run. A resumed run with no words left repeats the last one. */
   start (completion: Completion, requestId: string, body: string, write: TokenWriter): Run {
     const record: RunRecord = { requestId, at: Date.now(), body, outcome: 'running', tokens: 0 }
     this.log.push(record)
@@ -81,7 +81,7 @@
     }
   }
 
-  /** Exports the KV cache of a running request; undefined where it isn't running. */
+  /** Exports the KV cache of a running request; undefined if it isn't running. */
   exportKv (requestId: string): { readonly handle: string, readonly tokens: number } | undefined {
     const run = this.active.get(requestId)
     if (run === undefined) return undefined
--- a/stand-ins/engine/engine-parameters.ts
+++ b/stand-ins/engine/engine-parameters.ts
@@ -1,9 +1,8 @@
 /**
- * How the stand-in engine behaves. The defaults are chosen, not measured on an accelerator: a step that slows
- * linearly with the running batch, prefill that costs time in proportion to uncached prompt tokens and is chunked
- * between decode steps, and a prefix cache of whole blocks in the memory that running sequences leave over, are the
- * commonly described shape of continuous batching (Orca, vLLM, Sarathi-Serve). What tests compare are ratios within
- * one run.
+ * Parameters of the stand-in engine, a model of continuous batching as in Orca, vLLM or Sarathi-Serve: a step slows
+ * linearly with the running batch, prefill costs time in proportion to uncached prompt tokens and is chunked between
+ * decode steps, and a prefix cache of whole blocks uses the memory left by running sequences. The defaults describe no
+ * particular accelerator, so tests compare ratios within one run.
  */
 export interface EngineParameters {
   /** ms of one decode step with one running sequence. */
@@ -12,9 +11,9 @@
   readonly stepPerSequence: number
   /** ms to prefill one prompt token that isn't cached. */
   readonly prefillPerToken: number
-  /** ms to take in one token of imported KV cache. */
+  /** ms to import one token of KV cache. */
   readonly importPerToken: number
-  /** Prompt tokens prefilled in one step at most. */
+  /** Most prompt tokens prefilled in one step. */
   readonly prefillChunk: number
   /** Tokens of KV cache shared by running sequences and cached prefixes. */
   readonly memoryTokens: number
@@ -26,7 +25,7 @@
   readonly loadLag: number
   /** ms by which cache events lag. */
   readonly cacheEventLag: number
-  /** Share of cache events that are never told. */
+  /** Share of cache events that are never published. */
   readonly cacheEventGaps: number
   /** Whether orders with an old fencing number are refused. */
   readonly checksFencing: boolean
@@ -37,14 +36,14 @@
   readonly weightBytes: number
   /** Rate of the weight store. */
   readonly weightBytesPerSecond: number
-  /** File to which the id of each run is added as it starts; unlike the log it outlives the process. */
+  /** File to which the id of each run is appended as it starts; unlike the log, it survives the process. */
   readonly runFile?: string
   /**
-   * Name by which each word of an answer carries its run, as `word@NAME/7`; off when absent, so that answers follow from
-   * their prompts alone and tests compare them whole. Engines sample, and two runs of one prompt differ: without marks an
-   * answer put together from two runs, or a recorded result that a later run's replaced, reads like a right one.
+   * Name with which each word of an answer is marked by its run, as `word@NAME/7`. Real engines sample, so that two runs of
+   * a prompt differ: marks reveal an answer mixed from two runs, or a result replaced by that of a later run. If absent,
+   * answers depend on their prompts alone.
    */
   readonly runMark?: string
-  /** Seeds the random choices: gaps in cache events, answers that a fault hits. */
+  /** Seeds the random choices: lost cache events, answers that a fault affects. */
   readonly seed: number
 }
--- a/stand-ins/engine/engine-state.ts
+++ b/stand-ins/engine/engine-state.ts
@@ -4,16 +4,16 @@
 
 type StateParameters = Pick<EngineParameters, 'checksFencing' | 'models' | 'role' | 'weightBytes' | 'weightBytesPerSecond'>
 
-/** A model on the engine; `readyAt` is when its weights are there, in the engine's ms. */
+/** A model on the engine; its weights are loaded at `readyAt`, ms. */
 interface LoadedModel { readonly model: string, readonly readyAt: number }
 
-/** What orders have made of an engine: its models, its role, and the last fencing number it took. */
+/** The state of an engine that orders change: its models, its role, and the last accepted fencing number. */
 export class EngineState {
   private models: readonly LoadedModel[]
   private role: string
   private fencing = 0
   private weightStoreFreeAt = 0
-  /** Every order taken, in order; the truth that tests read. */
+  /** All accepted orders, in order, for tests. */
   readonly accepted: Array<Order & { readonly at: number }> = []
 
   constructor (private readonly parameters: StateParameters) {
@@ -21,7 +21,7 @@
     this.role = parameters.role
   }
 
-  /** Takes an order, or refuses it with the last fencing number where that is checked and higher. */
+  /** Applies an order, or refuses it with the last fencing number if that is checked and higher. */
   apply (order: Order, now: number): Result<void, { readonly fencing: number }> {
     if (this.parameters.checksFencing && order.fencing < this.fencing) return Err({ fencing: this.fencing })
     this.fencing = this.parameters.checksFencing ? order.fencing : Math.max(this.fencing, order.fencing)
@@ -39,7 +39,7 @@
     return { models, role: this.role, fencing: this.fencing }
   }
 
-  /** One load at a time, at the weight store's rate. */
+  /** Starts loading a model; loads run one after another at the rate of the weight store. */
   private load (model: string, now: number): void {
     if (this.models.some(slot => slot.model === model)) return
     const { weightBytes, weightBytesPerSecond } = this.parameters
--- a/stand-ins/engine/engine.ts
+++ b/stand-ins/engine/engine.ts
@@ -18,7 +18,7 @@
 const CRASH_CODE = 70
 const IMPOSSIBLE = '[impossible]'
 
-/** A stand-in model engine over HTTP: OpenAI-shaped completions, load reports, cache events, orders, faults. */
+/** A stand-in model engine over HTTP: OpenAI-compatible completions, load reports, cache events, orders, faults. */
 export class Engine {
   private readonly model: EngineModel
   private readonly server: Server
@@ -71,7 +71,7 @@
     res.on('close', () => run.cancel())
   }
 
-  /** Cuts or silences the connection at a token, where that is asked for; the log still shows the run as it went. */
+  /** Cuts or stalls the answer at a token if a fault demands it; the log still records the whole run. */
   private applyFaults (res: Response, write: TokenWriter): TokenWriter {
     const { cutAfter = Infinity, silenceAfter = Infinity, share = 1 } = this.faults
     const hit = share >= 1 || this.model.random.next() < share
--- a/stand-ins/engine/hash-blocks.ts
+++ b/stand-ins/engine/hash-blocks.ts
@@ -2,8 +2,8 @@
 const FNV_OFFSET = 0x811c9dc5
 
 /**
- * Chained hashes (FNV-1a) of the whole blocks of a list of tokens: two lists share the hash of block n exactly when
- * they are the same up to its end, but for chance.
+ * Returns chained FNV-1a hashes of the whole blocks of a list of tokens: but for collisions, two lists share the hash of
+ * a block exactly if they are equal up to its end.
  */
 export function hashBlocks (tokens: readonly string[], blockTokens: number): readonly number[] {
   const blocks: number[] = []
--- a/stand-ins/engine/hash-tokens.ts
+++ b/stand-ins/engine/hash-tokens.ts
@@ -1,6 +1,6 @@
 import { createHash } from 'node:crypto'
 
-/** Tells apart what runs went on from: the tokens given to a run, as the reader of its answer has them. */
+/** Hashes the answer tokens from which a run was resumed, to compare them with those that the caller received. */
 export function hashTokens (tokens: readonly string[]): string {
   return createHash('sha256').update(tokens.join('')).digest('hex').slice(0, 12)
 }
--- a/stand-ins/engine/order.ts
+++ b/stand-ins/engine/order.ts
@@ -1,4 +1,4 @@
-/** An order to a stand-in engine, as POST /orders takes it. */
+/** An order to a stand-in engine, the body of POST /orders. */
 export type Order =
   | { readonly kind: 'load', readonly fencing: number, readonly model: string }
   | { readonly kind: 'unload', readonly fencing: number, readonly model: string }
--- a/stand-ins/engine/prefix-cache.ts
+++ b/stand-ins/engine/prefix-cache.ts
@@ -1,7 +1,7 @@
-/** A block that came into the cache or left it. */
+/** A block that was added to the cache or removed from it. */
 interface CacheChange { readonly type: 'stored' | 'removed', readonly block: number }
 
-/** Prefix blocks in limited memory; the least recently used go first. */
+/** An LRU cache of prefix blocks. */
 export class PrefixCache {
   private readonly blocks = new Set<number>()
 
@@ -11,7 +11,7 @@
     return this.blocks.size
   }
 
-  /** How many leading blocks are cached; they count as used now. */
+  /** Returns the number of leading blocks that are cached, and marks these as used. */
   use (blocks: readonly number[]): number {
     let hits = 0
     while (hits < blocks.length && this.blocks.has(blocks[hits]!)) hits++
@@ -19,7 +19,7 @@
     return hits
   }
 
-  /** Keeps blocks, then evicts down to `capacity` blocks. */
+  /** Adds blocks, then evicts down to `capacity` blocks. */
   put (blocks: readonly number[], capacity: number): void {
     for (let i = blocks.length - 1; i >= 0; i--) {
       if (!this.blocks.has(blocks[i]!)) this.onChange({ type: 'stored', block: blocks[i]! })
--- a/stand-ins/engine/read-completion.ts
+++ b/stand-ins/engine/read-completion.ts
@@ -4,7 +4,7 @@
 const DEFAULT_TOKENS = 16
 const MAX_TOKENS = 100_000
 
-/** Checks a request body; the error says which field is wrong. */
+/** Parses and validates a request body; the error names the invalid field. */
 export function readCompletion (text: string, chat: boolean): Result<Completion, string> {
   const body = parse(text)
   if (body === undefined) return Err('the body must be a JSON object')
--- a/stand-ins/engine/read-order.ts
+++ b/stand-ins/engine/read-order.ts
@@ -1,7 +1,7 @@
 import { Err, Ok, type Result } from 'ts-results'
 import type { Order } from './order.js'
 
-/** Checks the body of an order. */
+/** Parses and validates the body of an order. */
 export function readOrder (text: string): Result<Order, string> {
   const body = parse(text)
   if (typeof body?.fencing !== 'number') return Err('fencing: must be a number')
--- a/stand-ins/engine/run-file.ts
+++ b/stand-ins/engine/run-file.ts
@@ -2,7 +2,7 @@
 import { hashTokens } from './hash-tokens.js'
 import type { RunLine } from './run-line.js'
 
-/** Adds to a file, as they happen, the starts of runs by their request's id; of runs with a mark, also their ends, each as a JSON line. */
+/** Appends runs to a file: for a run without a mark its request's id, for a marked run a JSON line at its start and at its end. */
 export class RunFile {
   constructor (private readonly file: string | undefined) {}
 
--- a/stand-ins/engine/run-record.ts
+++ b/stand-ins/engine/run-record.ts
@@ -1,10 +1,10 @@
-/** One run in a stand-in's log, which decides in tests what ran. Times are wall-clock ms. */
+/** One run in a stand-in's log. Times are wall-clock ms. */
 export interface RunRecord {
   readonly requestId: string
   readonly at: number
   readonly body: string
   outcome: 'running' | 'finished' | 'cancelled'
-  /** Answer tokens given, without those resumed from. */
+  /** Answer tokens generated, without those resumed from. */
   tokens?: number
   firstTokenAt?: number
   endedAt?: number
--- a/stand-ins/engine/step-loop.ts
+++ b/stand-ins/engine/step-loop.ts
@@ -2,19 +2,19 @@
 
 /** Runs a batcher's steps in real time while there is work. */
 export class StepLoop {
-  /** Factor on each step's length. */
+  /** Factor on the duration of each step. */
   factor = 1
   private stepping = false
   private isPaused = false
 
   constructor (private readonly batcher: Batcher) {}
 
-  /** Goes on after work was added. */
+  /** Continues stepping after work was added. */
   wake (): void {
     if (!this.stepping && !this.isPaused) this.step()
   }
 
-  /** Stops after the step that is running; what runs stays where it is. */
+  /** Pauses after the current step; running sequences keep their state. */
   pause (): void {
     this.isPaused = true
   }
--- a/stand-ins/engine/token-writer.ts
+++ b/stand-ins/engine/token-writer.ts
@@ -1,2 +1,2 @@
-/** Takes the tokens of one answer as they come. */
+/** Receives the tokens of one answer one by one. */
 export type TokenWriter = (word: string, last: boolean) => void
--- a/stand-ins/engine/write-full-answer.ts
+++ b/stand-ins/engine/write-full-answer.ts
@@ -3,7 +3,7 @@
 import type { AnswerMetadata } from './answer-metadata.js'
 import type { TokenWriter } from './token-writer.js'
 
-/** Answers with one body at the last token. A resumed answer holds the tokens after those it was resumed from. */
+/** Answers with one body at the last token; a resumed answer holds only its new tokens. */
 export function writeFullAnswer (res: ServerResponse, { id, model, chat, promptTokens }: AnswerMetadata): TokenWriter {
   const given: string[] = []
   return (word, last) => {
--- a/stand-ins/engine/write-stream.ts
+++ b/stand-ins/engine/write-stream.ts
@@ -2,7 +2,7 @@
 import type { AnswerMetadata } from './answer-metadata.js'
 import type { TokenWriter } from './token-writer.js'
 
-/** Answers token by token, as server-sent events; a resumed answer starts after the tokens it was resumed from. */
+/** Answers with one server-sent event for each token; a resumed answer holds only its new tokens. */
 export function writeStream (res: ServerResponse, { id, model, chat, words, resumed, promptTokens, includeUsage }: AnswerMetadata): TokenWriter {
   res.writeHead(200, { 'content-type': 'text/event-stream' })
   res.flushHeaders()
--- a/stand-ins/machines/create-configuration.ts
+++ b/stand-ins/machines/create-configuration.ts
@@ -1,6 +1,6 @@
 const HOST = 'desk.example'
 
-/** A configuration as the operator writes it: streams that may be resumed and others, jobs, and a route that comes and goes. */
+/** Creates a configuration as an operator writes it: resumable and other streams, jobs and, if `hasExtra`, one more route. */
 export function createConfiguration (version: number, { hasExtra }: { readonly hasExtra: boolean }): unknown {
   const route = { host: HOST, timeout_ms: 5_000, slo_ms: 300, priority: 0, service: 'helm', attempts: 2 }
   return {
--- a/stand-ins/machines/daemon-ports.ts
+++ b/stand-ins/machines/daemon-ports.ts
@@ -1,4 +1,4 @@
-/** Ports of one daemon on loopback: for requests, the question whether it is ready, other daemons, addresses, and metrics. */
+/** Ports of one daemon on loopback: for requests, readiness checks, other daemons, address lookups and metrics. */
 export interface DaemonPorts {
   readonly front: number
   readonly readiness: number
--- a/stand-ins/machines/event-engine.ts
+++ b/stand-ins/machines/event-engine.ts
@@ -4,36 +4,36 @@
 import { sendJson } from '../../src/http/send-json.js'
 
 const MAX_BODY = 2_000_000
-/** A path that ends so can never be done. */
+/** Paths of requests that always fail. */
 const IMPOSSIBLE = /\/impossible$/
 
-/** One run of a request as the engine saw it. */
+/** One run of a request, as the engine logs it. */
 interface EngineRun {
   readonly id: string
   readonly path: string
   readonly resumedAfter: number | undefined
-  /** When it began, by the clock of the options. */
+  /** Start of the run, by the clock of the options. */
   readonly at: number
-  /** Events that it sent. */
+  /** Number of events sent. */
   events: number
   outcome: 'running' | 'whole' | 'closed' | 'broken'
 }
 
 interface EventEngineOptions {
   readonly id: string
-  /** Requests that run at once; more are refused unrun. */
+  /** Requests that run at once; others are refused as not executed. */
   readonly slots?: number
   readonly events?: number
-  /** Between two events, ms. */
+  /** Time between two events, ms. */
   readonly pause?: number
   readonly now?: () => number
 }
 
-/** A model server of the users' machines: streams of numbered events, resume, expected instances, and runs that break off. */
+/** A stand-in for the users' model server: streams of numbered events, resumption, expected instances, and runs that break off. */
 export class EventEngine {
   port = 0
   readonly runs: EngineRun[] = []
-  /** The next runs of so many break off after this many events. */
+  /** Numbers of events after which the next runs break off, one number for each run. */
   breakPoints: number[] = []
   private readonly server: Server = createServer((req, res) => { void this.handle(req, res) })
   private running = 0
@@ -48,13 +48,13 @@
     this.port = await listen(this.server, '127.0.0.1', port)
   }
 
-  /** Ends as a process that crashes: every connection is reset. */
+  /** Stops as a crashed process does: every connection is reset. */
   stop (): void {
     this.server.close()
     this.server.closeAllConnections()
   }
 
-  /** The data of event `n` of a request. */
+  /** Returns the data of event `n` of a request. */
   static buildEventData (path: string, n: number): string {
     return `${path} piece ${n}`
   }
--- a/stand-ins/machines/format-settings.ts
+++ b/stand-ins/machines/format-settings.ts
@@ -3,11 +3,11 @@
 interface SettingsOptions {
   readonly name: string
   readonly ports: DaemonPorts
-  /** Where the store is, HOST:PORT. */
+  /** Address of the store, HOST:PORT. */
   readonly store: string
 }
 
-/** A daemon's settings file as the users' platform writes it, for loopback. */
+/** Formats the settings file of a daemon as the users' platform writes it, with ports on loopback. */
 export function formatSettings ({ name, ports, store }: SettingsOptions): string {
   return `node = "${name}"
 ip = "127.0.0.1"
--- a/stand-ins/machines/object-api.ts
+++ b/stand-ins/machines/object-api.ts
@@ -9,23 +9,23 @@
 const PAGE = 500
 const PATH = /^\/api\/objects\/([^/]+)(?:\/([^/]+))?(\/status)?$/
 
-/** How the store treats calls at present. */
+/** Faults of the store; an absent field is no fault. */
 interface ObjectApiFaults {
   /** `busy` answers 503, `limited` 429, `silent` not at all. */
   down?: 'busy' | 'limited' | 'silent'
-  /** A kind of object that alone is answered 503. */
+  /** The only kind of object whose calls are answered 503. */
   refusedKind?: string
   /** Whether writes take effect and are never answered. */
   losesReplies?: boolean
-  /** Before each answer, ms. */
+  /** Delay of each answer, ms. */
   delay?: number
-  /** Watches from before this revision are told that their history is gone. */
+  /** Watches from an earlier revision are answered 410, as their history is gone. */
   oldestRevision?: number
 }
 
 interface Target { readonly kind: string, readonly name: string | undefined, readonly isStatus: boolean, readonly query: URLSearchParams }
 
-/** The users' store of objects, as their page describes it: revisions, watches, pages, 409, 410, and faults. */
+/** A stand-in for the users' object store: revisions, watches, pages, 409, 410, and faults. */
 export class ObjectApi {
   faults: ObjectApiFaults = {}
   port = 0
@@ -42,7 +42,7 @@
     this.server.closeAllConnections()
   }
 
-  /** Writes as another system does, whatever is there. */
+  /** Writes an object unconditionally, as another system does. */
   put (kind: string, name: string, spec: unknown): void {
     this.objects.write(kind, name, spec, this.objects.read(kind, name)?.version ?? 0)
   }
--- a/stand-ins/machines/routed-entry-client.ts
+++ b/stand-ins/machines/routed-entry-client.ts
@@ -7,7 +7,7 @@
   readonly id: string
   readonly path: string
   readonly dispatcher: Dispatcher
-  /** Time that the caller gives, ms. */
+  /** Time from the request to its deadline, ms. */
   readonly deadline: number
 }
 
@@ -23,11 +23,11 @@
 
 interface WireResults { readonly total?: number, readonly results?: ReadonlyArray<{ readonly id: string, readonly state: string, readonly text: string }> }
 
-/** A caller of the users' machines at one address, in the words of their pages on the wire and in ours here. Statuses are 0 where no answer came. */
+/** A client of one entry address that speaks the users' protocol. Statuses are 0 where no answer came. */
 export class RoutedEntryClient {
   constructor (private readonly address: string, private readonly timeout: number) {}
 
-  /** Sends a request for a stream; undefined where no answer began. */
+  /** Sends a streaming request; undefined if no answer began. */
   async openStream ({ id, path, dispatcher, deadline }: StreamOptions): Promise<Stream | undefined> {
     const answer = await request(`http://${this.address}${path}`, {
       method: 'POST', dispatcher, headers: { host: HOST, 'x-request-id': id, 'x-deadline-ms': String(deadline) }, signal: AbortSignal.timeout(deadline)
@@ -40,7 +40,7 @@
     return (await this.call('POST', '/drafts/', id, body)).status
   }
 
-  /** The results from the first position on. */
+  /** Reads the results from the first position on. */
   async readResults (job: string): Promise<Results> {
     const { status, body } = await this.call('GET', `/api/lots/${job}?after=0`, `read-${job}`)
     const { total = 0, results = [] } = status === OK ? body as WireResults : {}
@@ -57,7 +57,7 @@
       const text = await answer.body.text()
       return { status: answer.statusCode, body: text === '' ? undefined : JSON.parse(text) }
     } catch {
-      // A caller whose daemon is gone or unreachable asks another one.
+      // The daemon is gone or unreachable: the caller tries another one.
       return { status: 0, body: undefined }
     }
   }
--- a/stand-ins/platform/fault-plan.ts
+++ b/stand-ins/platform/fault-plan.ts
@@ -2,9 +2,10 @@
 import type { PlatformFaults } from './platform-faults.js'
 
 const DEFAULT_SEED = 1
+/** Of delays, either way, as a fraction. */
 const SPREAD = 0.25
 
-/** Which calls the set faults hit. The same seed and the same order of calls give the same answer. */
+/** Decides which calls the faults affect; deterministic for a seed and an order of calls. */
 export class FaultPlan {
   private readonly random: Random
 
@@ -12,13 +13,13 @@
     this.random = new Random(faults.seed ?? DEFAULT_SEED)
   }
 
-  /** How long a call is held back before it takes effect, in ms. */
+  /** Draws the delay of a call before it takes effect, ms. */
   chooseDelay (): number {
     const { slowness = 0 } = this.faults
     return slowness === 0 ? 0 : this.random.spread(slowness, SPREAD)
   }
 
-  /** What becomes of a write that was admitted. */
+  /** Draws the outcome of an admitted write. */
   chooseWriteOutcome (): 'normal' | 'reply lost' | 'delayed' {
     const drawn = this.random.next()
     const { lostReplies = 0, delayedWrites } = this.faults
@@ -26,7 +27,7 @@
     return drawn < lostReplies + (delayedWrites?.share ?? 0) ? 'delayed' : 'normal'
   }
 
-  /** How old the state is that a read gets, in ms; 0 is the present. */
+  /** Draws the age of the state that a read returns, ms; 0 is the present. */
   chooseReadAge (): number {
     const { oldReads } = this.faults
     return oldReads !== undefined && this.random.next() < oldReads.share ? oldReads.lag : 0
--- a/stand-ins/platform/history.ts
+++ b/stand-ins/platform/history.ts
@@ -1,4 +1,4 @@
-/** A value that changes over time, and what it was at earlier moments. Times in ms, in any one clock. */
+/** A value with its earlier states. Times in ms, of one clock. */
 export class History<T> {
   private readonly past: Array<{ readonly at: number, readonly value: T }> = []
 
@@ -12,7 +12,7 @@
     this.past.push({ at, value })
   }
 
-  /** The value as it was at `time`. */
+  /** Returns the value as it was at `time`. */
   readAt (time: number): T {
     return this.past.findLast(({ at }) => at <= time)?.value ?? this.first
   }
--- a/stand-ins/platform/memory-store.ts
+++ b/stand-ins/platform/memory-store.ts
@@ -6,24 +6,24 @@
 import type { WatchBatch } from '../../src/store/watch-batch.js'
 import { ObjectTable } from './object-table.js'
 
-/** One call as a fault sees it. */
+/** A call, as passed to `fault`. */
 interface StoreCall { readonly call: 'get' | 'put' | 'delete' | 'list' | 'watch' | 'instances', readonly kind: string, readonly name: string }
 
 /**
- * What a fault does to a call: nothing, fail it before it takes effect, lose the reply after, answer an error now and
- * run it at `runDelayed`, or (for a get, list or first watch) answer it from the state at the last `keepOld`.
+ * The effect of a fault on a call: none, failure before it takes effect, loss of the reply after it took effect, an error
+ * now and its effect at `runDelayed`, or (for a get, list or first watch) an answer from the last `keepSnapshot`.
  */
 type FaultEffect = 'none' | 'old read' | { readonly fail: StoreError } | { readonly loseReply: StoreError } | { readonly landLater: StoreError }
 
 /**
- * An object API in memory, for decision tests: the same table as the stand-in platform, without processes or time.
+ * An in-memory object store for tests: the table of the stand-in platform, without processes or time.
  *
  * @example
  * const store = new MemoryStore()
  * store.fault = ({ call }) => call === 'put' ? { fail: { type: 'unavailable', reason: 'outage' } } : 'none'
  */
 export class MemoryStore implements ObjectStore {
-  /** What was said of the state of objects, by `KIND/NAME`. */
+  /** Statuses written by `putStatus`, by `KIND/NAME`. */
   readonly statuses = new Map<string, unknown>()
   readonly objects = new ObjectTable(() => this.generation)
   readonly calls: StoreCall[] = []
@@ -32,12 +32,12 @@
   private generation = 1
   private readonly delayed: Array<() => void> = []
 
-  /** Keeps the present state as what an old read gets from here on. */
+  /** Makes the present state the one that 'old read' effects return. */
   keepSnapshot (): void {
     this.generation++
   }
 
-  /** Runs the writes that faults held back, in the order they were sent. */
+  /** Applies the writes that faults held back, in the order in which they were sent. */
   runDelayed (): void {
     for (const run of this.delayed.splice(0)) run()
   }
@@ -75,7 +75,7 @@
     })
   }
 
-  /** Never waits: gives what has changed, which may be nothing. */
+  /** Returns at once, also when nothing has changed. */
   async watch<T> (kind: string, revision: number): Promise<Result<WatchBatch<T>, StoreError>> {
     return await this.call({ call: 'watch', kind, name: '' }, old => {
       const seen = old && revision < 0
--- a/stand-ins/platform/object-table.ts
+++ b/stand-ins/platform/object-table.ts
@@ -11,19 +11,19 @@
   private readonly listeners = new Map<string, Set<() => void>>()
   revision = 0
 
-  /** `date` stamps each change, for reads of the state at an earlier time. */
+  /** `date` timestamps each change, for reads of earlier states. */
   constructor (private readonly date: () => number = () => 0) {}
 
   read (kind: string, name: string): Row | undefined {
     return this.kinds.get(kind)?.get(name)
   }
 
-  /** The object as it was at `time`. */
+  /** Returns the object as it was at `time`. */
   readAt (kind: string, name: string, time: number): Row | undefined {
     return this.changes.get(kind)?.findLast(change => change.name === name && change.at <= time)?.object
   }
 
-  /** Writes when the present version is `version` (0: absent); gives back the present version otherwise. */
+  /** Writes if the present version is `version` (0: absent); otherwise returns the present version. */
   write (kind: string, name: string, value: unknown, version: number, writeId?: string): StoredObject | number {
     const present = this.read(kind, name)?.version ?? 0
     if (present !== version) return present
@@ -46,13 +46,13 @@
     return listPage([...this.kinds.get(kind)?.values() ?? []], prefix, after, limit)
   }
 
-  /** The list as it was at `time`. */
+  /** Lists the objects as they were at `time`. */
   listAt (kind: string, prefix: string, after: string, limit: number, time: number): StoredObject[] {
     const latest = indexLatest((this.changes.get(kind) ?? []).filter(({ at }) => at <= time))
     return listPage([...latest.values()].flatMap(({ object }) => object ?? []), prefix, after, limit)
   }
 
-  /** The latest change of each object of `kind` after `revision`; everything there is when it is negative. */
+  /** Returns the latest change of each object of `kind` after `revision`; all objects if that is negative. */
   changesSince (kind: string, revision: number): { changed: StoredObject[], deleted: string[] } {
     if (revision < 0) return { changed: this.list(kind, '', '', Infinity), deleted: [] }
     const changes = this.changes.get(kind) ?? []
@@ -63,7 +63,7 @@
     }
   }
 
-  /** Calls `listener` after each change of `kind`. */
+  /** Calls `listener` after each change of `kind`; returns a function that removes it. */
   onChange (kind: string, listener: () => void): () => void {
     const listeners = this.listeners.get(kind) ?? new Set()
     this.listeners.set(kind, listeners.add(listener))
--- a/stand-ins/platform/platform-faults.ts
+++ b/stand-ins/platform/platform-faults.ts
@@ -1,23 +1,23 @@
 /**
- * What goes wrong at the stand-in platform, set by POST /control/faults; an absent field is no fault. Shares are
- * of calls, from 0 to 1, and times in ms. Which calls are hit follows from the seed and the order of the calls.
+ * Faults of the stand-in platform, set by POST /control/faults; an absent field is no fault. Shares are of calls, from
+ * 0 to 1, and times in ms. The seed and the order of the calls determine which calls are affected.
  */
 export interface PlatformFaults {
   /** `refused`: 503 at once; `reset`: the connection is cut; `silent`: no answer ever comes. Nothing takes effect. */
   readonly outage?: 'refused' | 'reset' | 'silent'
-  /** Added to each call, spread by a quarter either way. */
+  /** Delay of each call, varied by up to a quarter either way. */
   readonly slowness?: number
   /** Share of writes that take effect and whose connection is then cut. */
   readonly lostReplies?: number
-  /** Share of writes whose connection is cut at once and that are tried `delay` ms later, when nobody waits for them. */
+  /** Share of writes whose connection is cut at once and that are applied `delay` ms later, if their version still matches. */
   readonly delayedWrites?: { readonly share: number, readonly delay: number }
   /** Share of gets, lists and first watches answered with the state of `lag` ms ago. */
   readonly oldReads?: { readonly share: number, readonly lag: number }
-  /** Watches are accepted and never answered, beyond the time they asked for. */
+  /** Watches are accepted and never answered, not even at the end of their wait. */
   readonly silentWatches?: boolean
-  /** How far the instance list is behind. */
+  /** Age of the instance list that is returned. */
   readonly instanceLag?: number
-  /** Calls a second above which calls are refused with 429. */
+  /** Calls per second above which calls are refused with 429. */
   readonly writesPerSecond?: number
   readonly readsPerSecond?: number
   readonly seed?: number
--- a/stand-ins/platform/platform.ts
+++ b/stand-ins/platform/platform.ts
@@ -14,7 +14,7 @@
 const BODY_LIMIT = 2 * VALUE_LIMIT
 const MS_PER_SECOND = 1_000
 
-/** Options of the stand-in platform; rates in calls a second. */
+/** Options of the stand-in platform; rates in calls per second. */
 interface PlatformOptions { readonly writesPerSecond?: number, readonly readsPerSecond?: number, readonly faults?: PlatformFaults }
 
 type Call = 'reads' | 'writes'
@@ -23,13 +23,13 @@
 
 /**
  * A stand-in for the platform: object API with conditional updates and watches, and the instance list.
- * It counts every call, refuses those above its rates, and fails as POST /control/faults says.
+ * It counts every call, refuses those above its rates, and simulates the faults set by POST /control/faults.
  */
 export class Platform {
   readonly objects = new ObjectTable(Date.now)
   readonly instances = new History<ReadonlyMap<string, Instance>>(new Map())
   readonly counts = { reads: 0, writes: 0, watches: 0, refused: 0, failed: 0 }
-  /** Calls by what they were for, such as `get chunk`. */
+  /** Calls by method and kind of object, such as `get chunk`. */
   private readonly byKind = new Map<string, number>()
   private readonly server: Server
   private plan: FaultPlan
@@ -63,7 +63,7 @@
     this.server.closeAllConnections()
   }
 
-  /** Counts the call, then lets the outage, the rates and the slowness at it before `handle`. */
+  /** Counts the call and applies outage, rate limits and slowness to it before `handle`. */
   private checkCall (call: Call, handle: Handle): Handle {
     return async (req, res) => {
       this.counts[call]++
@@ -76,7 +76,7 @@
     }
   }
 
-  /** Fails the call as the outage says; a silent one is left open. */
+  /** Fails the call during an outage; a silent outage leaves it unanswered. */
   private refuseInOutage (res: Response): boolean {
     const { outage } = this.plan.faults
     if (outage === undefined) return false
@@ -86,7 +86,7 @@
     return true
   }
 
-  /** Answers 429 when the second's rate is used up. */
+  /** Answers 429 once the rate of the current second is used up. */
   private refuseOverRate (call: Call, res: Response): boolean {
     const at = Math.floor(Date.now() / MS_PER_SECOND)
     if (this.second.at !== at) this.second = { at, reads: 0, writes: 0 }
@@ -125,7 +125,7 @@
     })
   }
 
-  /** Runs a write now or later, and answers it unless its reply is to be lost. */
+  /** Applies a write now or later, and answers it unless a fault loses the reply. */
   private applyWrite (res: Response, run: () => { readonly status: number, readonly body: unknown }): void {
     const outcome = this.plan.chooseWriteOutcome()
     if (outcome !== 'normal') this.counts.failed++
--- a/stand-ins/service/service-faults.ts
+++ b/stand-ins/service/service-faults.ts
@@ -1,11 +1,11 @@
-/** What goes wrong at the stand-in service, set by POST /control/faults; each run is logged all the same. */
+/** Faults of the stand-in service, set by POST /control/faults; each run is logged regardless. */
 export interface ServiceFaults {
-  /** Takes requests and never answers. */
+  /** Accepts requests and never answers. */
   readonly silence?: boolean
-  /** Ends the connection in the middle of each answer. */
+  /** Closes the connection in the middle of each answer. */
   readonly cut?: boolean
   /** Time until the answer, ms. */
   readonly delay?: number
-  /** Ends the process at the next request; its log goes with it. */
+  /** Ends the process at the next request; its log is lost. */
   readonly crash?: boolean
 }
--- a/stand-ins/service/service.ts
+++ b/stand-ins/service/service.ts
@@ -11,7 +11,7 @@
 const BODY_LIMIT = 1_000_000
 const CRASH_CODE = 70
 
-/** A stand-in plain service: answers any POST or GET with what it was asked, after `delay` ms, and logs each run, in `runFile` too, which outlives it. */
+/** A stand-in plain service: echoes each request after `delay` ms and logs its run, also to `runFile`, which survives the process. */
 export class Service {
   readonly log: RunRecord[] = []
   private readonly server: Server
