--- a/demo/batch-plan.ts
+++ b/demo/batch-plan.ts
@@ -1,4 +1,4 @@
-/** The batch work of the trial: what each item asks, and which of them can never be done. */
+/** The batch job of the demo: the prompt and tokens of each item, and the items that always fail. */
 export const batchPlan = {
   tokens: 40,
   impossible: [7, 123, 499] as readonly number[],
--- a/demo/caller.ts
+++ b/demo/caller.ts
@@ -7,11 +7,11 @@
 interface FinalAnswer { readonly status: number, readonly text: string, readonly sends: number }
 
 /**
- * A caller as the brief describes one: it asks the system for addresses, keeps the answer for a while, connects there
- * itself, and sends again elsewhere when a connection is lost or it is told when to come back.
+ * A caller that reads entry addresses from the system, caches them for the given time and connects to them in turn. It
+ * sends a request again, to the next address, after a lost connection or an answer that asks for a retry.
  */
 export class Caller {
-  /** Answers heard, of any status. */
+  /** Answers received, of any status. */
   answerCount = 0
   private addresses: readonly string[] = []
   private keptUntil = 0
@@ -55,10 +55,10 @@
         this.keptUntil = Date.now() + keep
         if (this.addresses.length > 0) return
       } catch {
-        // An entry instance that is gone: the next one is asked.
+        // The entry instance is gone: try the next one.
       }
     }
-    throw new Error('no entry instance gave addresses')
+    throw new Error('no entry instance returned addresses')
   }
 
   private async pause (time: number): Promise<void> {
--- a/demo/check-batch-work.ts
+++ b/demo/check-batch-work.ts
@@ -16,7 +16,7 @@
   const wrong = output.filter(line => {
     return line.response.body.choices[0].message.content !== createAnswerWords(batchPlan.createPrompt(Number(line.custom_id.slice(6))), batchPlan.tokens).join(' ')
   })
-  checks.expect(wrong.length === 0, 'each result is its own item\'s, whole', wrong.slice(0, 2).map(line => JSON.stringify(line)).join(' '))
+  checks.expect(wrong.length === 0, 'each result is complete and belongs to its item', wrong.slice(0, 2).map(line => JSON.stringify(line)).join(' '))
   const again = await readLines(caller, `${job}.output`)
   checks.expect(JSON.stringify(again) === JSON.stringify(output), 'reading the results again gives the same bytes')
 }
--- a/demo/checks.ts
+++ b/demo/checks.ts
@@ -1,9 +1,9 @@
-/** Collects what was checked and what didn't hold, so that all of it is told together. */
+/** Collects the results of checks, to print them together. */
 export class Checks {
   private readonly lines: string[] = []
   private failures = 0
 
-  /** Notes a check; `detail` says what was seen. */
+  /** Records a check; `detail` tells what was observed. */
   expect (holds: boolean, what: string, detail = ''): void {
     if (!holds) this.failures++
     this.lines.push(`${holds ? 'ok    ' : 'FAILED'}  ${what}${detail === '' ? '' : ` (${detail})`}`)
--- a/demo/main.ts
+++ b/demo/main.ts
@@ -28,7 +28,7 @@
   return fleet
 }
 
-/** Online and batch work at once; a daemon and an engine are killed while both run. */
+/** Runs online and batch work together, kills a daemon and an engine meanwhile, and returns the id of the batch job. */
 async function runWork (fleet: Fleet, checks: Checks): Promise<string> {
   const entryUrls = fleet.daemons.map(daemon => fleet.url(daemon))
   const callers = ['quay-desk', 'night-desk', 'school-kitchen'].map(name => new Caller(entryUrls, name))
@@ -44,11 +44,11 @@
   checks.expect(twice.length === 0, `${bookings.length} bookings sent twice ran at most once each`, twice.map(({ slot, answers }) => `${slot}: ${answers.join(' | ')}`).slice(0, 2).join('; '))
   const answered = bookings.filter(({ answers }) => answers.some(answer => answer.startsWith('200')))
   const unlogged = answered.filter(({ slot }) => !runs.some(({ body }) => body === JSON.stringify({ slot })))
-  checks.expect(unlogged.length === 0 && answered.length > 0, 'each booking that was confirmed did run', `${answered.length} of ${bookings.length} confirmed`)
+  checks.expect(unlogged.length === 0 && answered.length > 0, 'each confirmed booking ran', `${answered.length} of ${bookings.length} confirmed`)
   return job
 }
 
-/** The account of the whole fleet, once the daemons have flushed what the trial brought them. */
+/** Checks and prints the usage account of the fleet once the daemons have flushed their counts. */
 async function checkAccount (fleet: Fleet, batchItems: number, checks: Checks): Promise<void> {
   const read = async (): Promise<MergedAccount> => await fleet.operator('GET', listLive(fleet)[0]!, '/operator/account')
   const addUp = ({ rows }: MergedAccount, work: 'online' | 'batch', pick: (row: MergedAccount['rows'][string]) => number): number => {
@@ -57,18 +57,18 @@
   const countDone = (account: MergedAccount): number => addUp(account, 'batch', ({ answered, failed }) => answered + Object.values(failed).reduce((sum, n) => sum + n, 0))
   const least = ONLINE_REQUESTS + ONLINE_REQUESTS / 4
   const covers = async (): Promise<boolean> => countDone(await read()) >= batchItems
-  // What the killed daemon had counted since its last flush is lost to the account, which says so by its bound.
+  // The account lacks what the killed daemon had counted since its last flush; `mayMiss` bounds that.
   await fleet.waitUntil(covers).catch(() => {})
   const account = await read()
   const [asked, done] = [addUp(account, 'online', row => row.asked), countDone(account)]
-  checks.expect(asked + account.mayMiss.asked >= least && done === batchItems, 'the account has every batch item, and online requests but for what it says it may lack', `${asked} online, ${done} batch items, may lack ${account.mayMiss.asked}`)
+  checks.expect(asked + account.mayMiss.asked >= least && done === batchItems, 'the account has every batch item, and all online requests but for at most its stated bound', `${asked} online, ${done} batch items, may miss ${account.mayMiss.asked}`)
   console.log('\naccount by caller, service and kind of work:')
   for (const [name, { asked, answered, tokens, refused, failed }] of Object.entries(account.rows).sort()) {
     console.log(`  ${name.padEnd(42)} asked ${asked}, answered ${answered}, tokens ${tokens}, refused ${JSON.stringify(refused)}, failed ${JSON.stringify(failed)}`)
   }
 }
 
-/** The daemons that weren't killed; they are listed in the order in which they came up. */
+/** Lists the daemons that weren't killed, in the order in which they started. */
 function listLive (fleet: Fleet): Fleet['daemons'] {
   return fleet.daemons.filter(({ instance }) => instance.name !== KILLED_DAEMON)
 }
@@ -77,7 +77,7 @@
   const live = listLive(fleet)
   const timelines = await Promise.all(live.map(async daemon => (await fleet.operator('GET', daemon, `/operator/timeline?job=${job}`)).events))
   const events = mergeTimelines(timelines)
-  console.log(`\ntime line of ${job}, the first and the last of ${events.length} events:`)
+  console.log(`\ntimeline of ${job}, the first and the last of ${events.length} events:`)
   console.log(showTimeline([...events.slice(0, 5), ...events.slice(-5)]))
 }
 
@@ -90,7 +90,7 @@
   const checks = new Checks()
   showProgress(`starts a platform, ${ENGINES} engines, 2 services and ${DAEMONS} daemons`)
   const fleet = await startFleet()
-  // Ctrl-C ends what was started, too.
+  // Ctrl-C stops the fleet as well.
   process.once('SIGINT', () => { void fleet.stop().then(() => process.exit(130)) })
   try {
     const job = await runWork(fleet, checks)
--- a/demo/online-work.ts
+++ b/demo/online-work.ts
@@ -4,10 +4,10 @@
 
 const END_OF_STREAM = 'data: [DONE]'
 
-/** What the online part of the trial sent, to be compared with the servers' logs. */
+/** The bookings that the demo sent, to compare them with the log of their server. */
 interface OnlineWork { readonly bookings: readonly { readonly slot: number, readonly answers: readonly string[] }[] }
 
-/** Sends `count` online requests of every kind from several callers, all at once in groups, and checks each answer. */
+/** Sends `count` online requests of every kind from several callers, in concurrent groups, and checks each answer. */
 export async function runOnlineWork (callers: readonly Caller[], count: number, checks: Checks): Promise<OnlineWork> {
   const kinds = [askWhole, askStream, askPlain] as const
   const failures: string[] = []
@@ -21,7 +21,7 @@
       else failures.push(...await kinds[n % 4]!(caller, n))
     }))
   }
-  checks.expect(failures.length === 0, `${count - bookings.length} online requests got their own whole answer`, failures.slice(0, 3).join('; '))
+  checks.expect(failures.length === 0, `${count - bookings.length} online requests got their own complete answer`, failures.slice(0, 3).join('; '))
   return { bookings }
 }
 
@@ -45,7 +45,7 @@
   return status === 200 && JSON.parse(text).path === `/day/${n}` ? [] : [`plain ${n}: ${status} ${text.slice(0, 120)}`]
 }
 
-/** Sends one booking twice at once under one key, through two callers' connections of the same caller. */
+/** Sends one booking twice at the same time with the same idempotency key. */
 async function sendTwice (callers: readonly Caller[], n: number): Promise<string[]> {
   const caller = callers[n % callers.length]!
   const send = async (): Promise<string> => {
--- a/demo/submit-batch-work.ts
+++ b/demo/submit-batch-work.ts
@@ -2,7 +2,7 @@
 import type { Fleet } from '../harness/fleet.js'
 import { batchPlan } from './batch-plan.js'
 
-/** Submits the batch job of the trial; gives back its id. */
+/** Submits the batch job of the demo; returns its id. */
 export async function submitBatchWork (fleet: Fleet, items: number): Promise<string> {
   const client = new CallerClient(fleet.url(fleet.daemons[0]!), 'night-desk-token')
   const file = await client.upload(Array.from({ length: items }, (_, n) => ({
