--- a/test/bench/hunt.test.ts
+++ b/test/bench/hunt.test.ts
@@ -22,42 +22,42 @@
 const ofItem = { id: 'j.item-0' }
 
 const CASES: ReadonlyArray<readonly [string, Partial<HuntRecord>, string | undefined]> = [
-  ['nothing went wrong', { sends: [send({})], runs: ['stream-1.0'], jobs: [job({})] }, undefined],
+  ['nothing in a correct record', { sends: [send({})], runs: ['stream-1.0'], jobs: [job({})] }, undefined],
   ['another\'s answer', { sends: [send({ wrong: 'day 2' })] }, 'passed as whole'],
-  ['an end long after the deadline', { sends: [send({ took: 12_000 })] }, 'had its end after'],
-  ['an end that was late because the daemon stood still', { sends: [send({ took: 12_000 })], frozen: [{ daemon: 'entry-0', from: 5, to: 9_000 }] }, undefined],
-  ['a request that nobody answered', { sends: [send({ outcome: 'no answer' })] }, 'neither an answer nor a refusal'],
+  ['a request that ends long after its deadline', { sends: [send({ took: 12_000 })] }, 'had its end after'],
+  ['a request that ends late because its daemon was paused', { sends: [send({ took: 12_000 })], frozen: [{ daemon: 'entry-0', from: 5, to: 9_000 }] }, undefined],
+  ['a request without an answer', { sends: [send({ outcome: 'no answer' })] }, 'neither an answer nor a refusal'],
   ['a refused request that ran', { sends: [send({ outcome: 'refused', ran: 'not run' })], runs: ['stream-1.0'] }, 'refused as not run, and ran'],
   ['a stream of one run', { sends: [send({ marked: 'a@e/1 b@e/1' })], engineRuns: { 'e/1': run() } }, undefined],
-  ['a stream that went on at another server', { sends: [send({ marked: 'a@e/1 b@e/1 c@f/1' })], engineRuns: { 'e/1': run({ outcome: undefined }), 'f/1': resumed(['a@e/1', ' b@e/1']) } }, undefined],
-  ['a stream begun again in its middle', { sends: [send({ marked: 'a@e/1 b@f/1' })], engineRuns: { 'e/1': run({ outcome: 'cancelled' }), 'f/1': run() } }, 'begun from token 0 and follows 1'],
-  ['a stream that goes on after tokens nobody was shown', { sends: [send({ marked: 'a@e/1 b@f/1' })], engineRuns: { 'e/1': run(), 'f/1': resumed(['x@e/2']) } }, 'other tokens'],
-  ['a stream that goes on too late', { sends: [send({ marked: 'a@e/1 c@f/1' })], engineRuns: { 'e/1': run(), 'f/1': resumed(['a@e/1', ' b@e/1']) } }, 'begun from token 2 and follows 1'],
-  ['two runs that take turns', { sends: [send({ marked: 'a@e/1 b@f/1 c@e/1' })], engineRuns: { 'e/1': run(), 'f/1': resumed(['a@e/1']) } }, 'begun from token 0 and follows 2'],
+  ['a stream that continued on another server', { sends: [send({ marked: 'a@e/1 b@e/1 c@f/1' })], engineRuns: { 'e/1': run({ outcome: undefined }), 'f/1': resumed(['a@e/1', ' b@e/1']) } }, undefined],
+  ['a stream restarted in its middle', { sends: [send({ marked: 'a@e/1 b@f/1' })], engineRuns: { 'e/1': run({ outcome: 'cancelled' }), 'f/1': run() } }, 'begun from token 0 and follows 1'],
+  ['a stream that continues after tokens that its caller never got', { sends: [send({ marked: 'a@e/1 b@f/1' })], engineRuns: { 'e/1': run(), 'f/1': resumed(['x@e/2']) } }, 'other tokens'],
+  ['a stream that continues with a gap', { sends: [send({ marked: 'a@e/1 c@f/1' })], engineRuns: { 'e/1': run(), 'f/1': resumed(['a@e/1', ' b@e/1']) } }, 'begun from token 2 and follows 1'],
+  ['a stream of two alternating runs', { sends: [send({ marked: 'a@e/1 b@f/1 c@e/1' })], engineRuns: { 'e/1': run(), 'f/1': resumed(['a@e/1']) } }, 'begun from token 0 and follows 2'],
   ['a stream whose run was cut', { sends: [send({ marked: 'a@e/1' })], engineRuns: { 'e/1': run({ outcome: undefined }) } }, 'did not end whole'],
   ['a stream of another\'s run', { sends: [send({ marked: 'a@e/1' })], engineRuns: { 'e/1': run({ id: 'stream-2.0' }) } }, 'ran stream-2.0'],
-  ['an answer of a run that no server had', { sends: [send({ marked: 'a@e/9' })], engineRuns: { 'e/1': run() } }, 'no server\'s file'],
-  ['a word of no run', { sends: [send({ marked: 'a@e/1 b' })], engineRuns: { 'e/1': run() } }, 'has no mark'],
+  ['an answer of a run that no server recorded', { sends: [send({ marked: 'a@e/9' })], engineRuns: { 'e/1': run() } }, 'no server\'s file'],
+  ['a word without a mark', { sends: [send({ marked: 'a@e/1 b' })], engineRuns: { 'e/1': run() } }, 'has no mark'],
   ['a whole answer of two runs', { sends: [whole('a@e/1 b@f/1')], engineRuns: { 'e/1': run({ id: 'whole-1.0' }), 'f/1': resumed(['a@e/1'], { id: 'whole-1.0' }) } }, 'of 2 runs'],
   ['a result of a run that was cancelled', { jobs: [item('a@e/1')], engineRuns: { 'e/1': run({ ...ofItem, outcome: 'cancelled' }) } }, 'did not end whole'],
   ['a result of another item\'s run', { jobs: [item('a@e/1')], engineRuns: { 'e/1': run({ id: 'j.item-7' }) } }, 'ran j.item-7'],
-  ['a result that went on after giving way', { jobs: [item('a@e/1 b@f/1')], engineRuns: { 'e/1': run({ ...ofItem, outcome: 'cancelled' }), 'f/1': resumed(['a@e/1'], ofItem) } }, undefined],
+  ['a result that continued after its item was preempted', { jobs: [item('a@e/1 b@f/1')], engineRuns: { 'e/1': run({ ...ofItem, outcome: 'cancelled' }), 'f/1': resumed(['a@e/1'], ofItem) } }, undefined],
   ['a result replaced by a later run\'s', { jobs: [job({ seen: [{ item: 'item-0', lines: ['a@e/1', 'a@f/1'] }] })] }, 'changed after it was read'],
-  ['a result that was read and is gone', { jobs: [job({ seen: [{ item: 'item-0', lines: ['a'] }, { item: 'item-1', lines: ['b'] }] })] }, 'was read and is gone'],
+  ['a result that disappears after it was read', { jobs: [job({ seen: [{ item: 'item-0', lines: ['a'] }, { item: 'item-1', lines: ['b'] }] })] }, 'was read and is gone'],
   ['a booking that ran twice', { sends: [booking('a'), booking('b')], runs: ['a', 'b'] }, 'ran 2 times'],
-  ['a booking answered in two ways', { sends: [booking('a'), booking('b', { text: 'run 2' })], runs: ['a'] }, 'answered in two ways'],
+  ['a booking with two different answers', { sends: [booking('a'), booking('b', { text: 'run 2' })], runs: ['a'] }, 'answered in two ways'],
   ['a booking confirmed and never run', { sends: [booking('a')] }, 'confirmed and didn\'t run'],
   ['a job that became two', { jobs: [job({ ids: ['j', 'k'] })] }, 'another job'],
   ['an item without a result', { jobs: [job({ items: 2 })] }, '1 results of 2 items'],
   ['an item with two results', { jobs: [job({ items: 2, results: [{ item: 'item-0' }, { item: 'item-0' }] })] }, '2 results of 2 items'],
   ['an item that may run once and ran twice', { jobs: [job({})], runs: ['j.item-0', 'j.item-0'] }, 'ran 2 times'],
   ['results that change', { jobs: [job({ sameBytes: false })] }, 'read differently'],
-  ['items that start after a cancelling', { jobs: [job({ lateStarts: 2 })] }, '2 items began'],
-  ['a daemon that goes back', { versions: [{ daemon: 'entry-0', versions: [3, 5, 4] }] }, 'went back'],
-  ['a daemon that stays behind', { accepted: [5], last: [5, 4] }, 'acts on 4'],
+  ['items that start after a cancellation', { jobs: [job({ lateStarts: 2 })] }, '2 items began'],
+  ['a daemon that returns to an older configuration', { versions: [{ daemon: 'entry-0', versions: [3, 5, 4] }] }, 'went back'],
+  ['a daemon that stays at an older configuration', { accepted: [5], last: [5, 4] }, 'acts on 4'],
   ['a version accepted twice', { accepted: [5, 5] }, 'accepted twice'],
-  ['an account that lacks more than it says', { sends: [send({})], account: { asked: 1, answered: 0, mayMiss: 0 } }, 'were heard'],
-  ['an account with more than was sent', { account: { asked: 1, answered: 0, mayMiss: 0 } }, '0 were sent']
+  ['an account that lacks more than its stated bound', { sends: [send({})], account: { asked: 1, answered: 0, mayMiss: 0 } }, 'were heard'],
+  ['an account with more requests than were sent', { account: { asked: 1, answered: 0, mayMiss: 0 } }, '0 were sent']
 ]
 
 for (const [what, more, finding] of CASES) {
@@ -68,7 +68,7 @@
   })
 }
 
-test('a seed always plans the same troubles, two to four, and leaves half of the daemons and engines', t => {
+test('a seed always plans the same two to four troubles, which spare half of the daemons and engines', t => {
   for (let seed = 1; seed <= 500; seed++) {
     const troubles = planTroubles(seed)
     t.deepEqual(troubles, planTroubles(seed))
@@ -79,8 +79,8 @@
   }
 })
 
-// A killed engine leaves the starts of its runs without their ends; each still counts as a run, and none as whole.
-test('run files give every run by its mark, with its end where it had one', t => {
+// A killed engine records the starts of its runs without their ends. Each must count as a run, and none as complete.
+test('run files list every run by its mark, with its end if it has one', t => {
   const line = (value: object): string => `${JSON.stringify(value)}\n`
   const started = { type: 'started', id: 'j.item-0', resumed: 0, from: 'x' }
   const engine = line({ ...started, run: 'e/1' }) + line({ ...started, run: 'e/2' }) + line({ type: 'ended', run: 'e/1', outcome: 'finished' })
--- a/test/bench/summarize-idle.test.ts
+++ b/test/bench/summarize-idle.test.ts
@@ -8,7 +8,7 @@
   return { requestId, at, firstTokenAt: at, endedAt, tokens, body: '', outcome: 'finished' }
 }
 
-test('what is lost and what is given add up to what was possible', t => {
+test('lost and generated tokens add up to the possible ones', t => {
   const account = summarizeIdle([run('load-1', 0, 200), run('item-1', 250, 1_000, 75), run('item-2', 300, 600, 30), run('item-3', 700, 1_000, 30)], OPTIONS)
   t.is(account.idle, 800)
   t.is(account.possible, 160)
@@ -20,7 +20,7 @@
   t.is(account.steps, 0)
 })
 
-test('slots left free are headroom, and tokens beside online requests are told apart', t => {
+test('free slots count as headroom, and tokens beside online requests are counted separately', t => {
   const account = summarizeIdle([run('item-1', 0, 1_000, 100), run('load-1', 500, 1_000)], { ...OPTIONS, allowed: 1 })
   t.is(account.given, 50)
   t.is(account.beside, 50)
--- a/test/stand-ins/batcher.test.ts
+++ b/test/stand-ins/batcher.test.ts
@@ -8,7 +8,7 @@
   return { id: 's', contextTokens, blocks: [], imported: false, words: Array.from({ length: words }, () => 'w'), resumed: 0, done: 0, prefillLeft: 0, prefilled: 0, cancelled: false, onToken: () => {}, ...more }
 }
 
-/** Total ms that one sequence takes alone. */
+/** Returns the total time that one sequence takes alone, ms. */
 function run (batcher: Batcher, sequence: Sequence): number {
   batcher.add(sequence)
   let time = 0
@@ -28,7 +28,7 @@
   t.is(run(batcher, createSequence(128, 1)), 128 + 2)
 })
 
-test('the least recently used blocks leave a full cache', t => {
+test('a full cache evicts the least recently used blocks', t => {
   const cache = new PrefixCache()
   cache.put([1, 2], 3)
   cache.put([8], 3)
@@ -38,7 +38,7 @@
   t.is(cache.use([1, 2]), 2)
 })
 
-test('a cancelled sequence leaves at the next step and keeps nobody waiting', t => {
+test('a cancelled sequence leaves at the next step and makes room for the next one', t => {
   const batcher = new Batcher({ ...defaultParameters, maxRunning: 1 })
   const first = createSequence(10, 100)
   let got = 0
--- a/test/stand-ins/engine.test.ts
+++ b/test/stand-ins/engine.test.ts
@@ -21,7 +21,7 @@
 const PROMPT = 'When is high tide? '.repeat(40)
 const ask = (more = {}): object => ({ model: 'm', max_tokens: 8, messages: [{ role: 'user', content: PROMPT }], ...more })
 
-test('a resumed answer goes on after the tokens it was resumed from, and the log counts only its own', async t => {
+test('a resumed answer continues after the tokens it was resumed from, and the log counts only its own', async t => {
   const call = await startEngine(t)
   const text = async (more?: object): Promise<string> => (await call('/v1/chat/completions', ask(more))).json.choices[0].message.content
   const words = (await text()).split(' ')
@@ -29,7 +29,7 @@
   t.deepEqual((await call('/control/log')).json.runs.map((run: any) => [run.outcome, run.tokens]), [['finished', 8], ['finished', 3]])
 })
 
-test('malformed bodies get a 400 and the engine goes on', async t => {
+test('malformed bodies get a 400 and the engine keeps serving', async t => {
   const call = await startEngine(t)
   for (const body of ['{', '[]', 'null', '{"messages": 1}', '{"messages": [null]}', ask({ max_tokens: -1 }), ask({ resume_from: 'x' }), ask({ kv: 1 })]) {
     t.is((await call('/v1/chat/completions', body)).status, 400)
@@ -40,7 +40,7 @@
   t.is((await call('/v1/chat/completions', ask())).status, 200)
 })
 
-test('an order with an old fencing number is refused where that is checked, and taken where it is not', async t => {
+test('an order with an old fencing number is refused if that is checked, and accepted otherwise', async t => {
   for (const checksFencing of [true, false]) {
     const call = await startEngine(t, { checksFencing, weightBytes: 0 })
     await call('/orders', { fencing: 7, kind: 'load', model: 'a' })
@@ -55,7 +55,7 @@
   t.is((await call('/state')).json.models[0].state, 'loading')
 })
 
-test('cache events tell of stored prefixes, late', async t => {
+test('cache events list stored prefixes', async t => {
   const call = await startEngine(t, { cacheEventLag: 0, cacheEventGaps: 0 })
   await call('/v1/chat/completions', ask())
   const { events } = (await call('/cache-events')).json
@@ -63,7 +63,7 @@
   t.deepEqual((await call(`/cache-events?after=${events.length}`)).json.events, [])
 })
 
-test('with marks each word tells its run, a resumed one what it went on from, and the run file its end', async t => {
+test('with marks each word names its run, and the run file records what a run resumed from and its end', async t => {
   const folder = mkdtempSync(join(tmpdir(), 'citronwheel-engine-'))
   t.teardown(() => rmSync(folder, { recursive: true }))
   const runFile = join(folder, 'runs')
--- a/test/style/source.test.ts
+++ b/test/style/source.test.ts
@@ -4,7 +4,7 @@
 import ts from 'typescript'
 
 const FOLDERS = ['src', 'platform', 'stand-ins', 'harness', 'bench', 'demo']
-/** The package's public surface re-exports what embedders need from one place. */
+/** Public API of the package, which re-exports everything that embedders need. */
 const PUBLIC_SURFACE = 'src/coordination/index.ts'
 const MAX_LINES = 300
 
@@ -27,7 +27,7 @@
     (ts.canHaveModifiers(statement) && ts.getModifiers(statement)?.some(({ kind }) => kind === ts.SyntaxKind.ExportKeyword) === true)).length
 }
 
-test('one export a file', t => {
+test('one export per file', t => {
   t.deepEqual(sources.filter(source => source.fileName !== PUBLIC_SURFACE && countExports(source) > 1).map(({ fileName }) => fileName), [])
 })
 
@@ -39,7 +39,7 @@
   t.deepEqual(wrong, [])
 })
 
-test('no file grows large, and none carries a banner', t => {
+test('no file is long, and none has a licence banner', t => {
   t.deepEqual(sources.filter(source => source.text.split('\n').length > MAX_LINES).map(({ fileName }) => fileName), [])
   t.deepEqual(sources.filter(source => /licen[cs]e|copyright/i.test(source.text.slice(0, 300))).map(({ fileName }) => fileName), [])
 })
--- a/test/whole/binary.test.ts
+++ b/test/whole/binary.test.ts
@@ -7,7 +7,7 @@
 
 const BINARY = { program: ['dist/citronwheel'] }
 
-test('the one binary runs a stand-in platform and a daemon, which ends with 0 on SIGTERM', async t => {
+test('the single binary runs a stand-in platform and a daemon, which exit with 0 on SIGTERM', async t => {
   const folder = mkdtempSync(join(tmpdir(), 'citronwheel-'))
   t.teardown(() => rmSync(folder, { recursive: true, force: true }))
   const platform = await Child.start<{ listening: number }>(['stand-in', 'platform'], BINARY)
@@ -31,8 +31,8 @@
   t.is(await platform.child.waitForExit(), 0)
 })
 
-// An operator who reads standard error, or a script that takes it for a failure, sees nothing there that isn't ours.
-test('the one binary says nothing on standard error when all is well', t => {
+// Guards against warnings of the runtime, which scripts could take for a failure.
+test('the single binary writes nothing to standard error when it succeeds', t => {
   const { status, stderr } = spawnSync(BINARY.program[0]!, ['--version'], { encoding: 'utf8' })
   t.is(status, 0)
   t.is(stderr, '')
--- a/test/whole/machines.test.ts
+++ b/test/whole/machines.test.ts
@@ -32,7 +32,7 @@
   await fleet.waitUntil('the store runs', () => fleet.store.port > 0)
   fleet.store.put('config', 'main', createConfiguration(1))
   await started
-  await fleet.waitUntil('all daemons know one another', async () => (await Promise.all(fleet.daemons.map(async daemon => await fleet.listAddresses(daemon)))).every(addresses => addresses.length === daemons))
+  await fleet.waitUntil('all daemons see each other', async () => (await Promise.all(fleet.daemons.map(async daemon => await fleet.listAddresses(daemon)))).every(addresses => addresses.length === daemons))
   return fleet
 }
 
@@ -47,9 +47,9 @@
 
 const writeStream = (path: string, events: number): string => Array.from({ length: events }, (_, i) => `id: ${i + 1}\ndata: ${EventEngine.buildEventData(path, i + 1)}\n\n`).join('')
 
-// A caller reads a stream; its server breaks off in the middle of an event. The stream goes on at the other server behind the
-// last whole event, under the first server's head, and the caller sees nothing of it. A stream that may not be resumed is cut.
-test('streams: whole, resumed where they may be, and cut where they may not', async t => {
+// A server breaks off in the middle of an event. The stream must continue on the other server after the last complete event,
+// with the first server's response headers. A stream of a route that isn't resumable must be cut.
+test('broken streams are resumed on resumable routes and cut on others', async t => {
   const engines = ['i-1', 'i-2'].map(id => new EventEngine({ id }))
   const fleet = await startFleet(1, engines)
   const { front } = fleet.daemons[0]!.ports
@@ -70,9 +70,9 @@
   }
 })
 
-// A job is accepted, and the daemon that has it is killed while its items run. Its caller goes on reading at the other one:
-// the results that it has seen stay where they were, the rest follow, and an item that can't be done ends as such.
-test('a job outlives the daemon that accepted it', async t => {
+// The daemon that accepted a job is killed while items run. Its caller continues to read at the other daemon: results that it
+// has read must keep their positions, the rest must follow, and an impossible item must end as failed.
+test('a job survives the daemon that accepted it', async t => {
   const engines = ['i-1', 'i-2'].map(id => new EventEngine({ id, events: 20, pause: 25 }))
   const fleet = await startFleet(2, engines)
   const [first, second] = fleet.daemons as [typeof fleet.daemons[0], typeof fleet.daemons[0]]
@@ -83,12 +83,12 @@
     t.is((await call(second.ports.front, '/api/items/job-1?id=b', { method: 'GET' })).text, 'x')
     const read = async (port: number, after = 0): Promise<any> => JSON.parse((await call(port, `/api/lots/job-1?after=${after}`, { method: 'GET', headers: { 'x-wait-ms': '1000' } })).text)
     let page = { results: [] as Array<{ id: string, state: string, text: string }> }
-    await fleet.waitUntil('a result is there', async () => (page = await read(second.ports.front)).results.length > 0)
+    await fleet.waitUntil('a result is available', async () => (page = await read(second.ports.front)).results.length > 0)
     t.deepEqual(page.results[0], { id: 'impossible', state: 'errored', text: '' })
     first.child!.signal('SIGKILL')
     await first.child!.waitForExit()
     const seen = page.results
-    await fleet.waitUntil('all results are there', async () => (page = await read(second.ports.front)).results.length === 4)
+    await fleet.waitUntil('all results are available', async () => (page = await read(second.ports.front)).results.length === 4)
     t.deepEqual(page.results.slice(0, seen.length), seen)
     const whole = (id: string): string => Array.from({ length: 20 }, (_, i) => EventEngine.buildEventData(`/drafts/${id}`, i + 1)).join('\n')
     t.deepEqual([...page.results].sort((a, b) => a.id < b.id ? -1 : 1).slice(0, 3), ['a', 'b', 'c'].map(id => ({ id, state: 'completed', text: whole(id) })))
@@ -97,9 +97,9 @@
   }
 })
 
-// A daemon is killed while an item of its job runs, and another ends it. Whoever asks the logs for the item must find both, and what
-// the metrics say of the second one's beliefs must not be older than a watch.
-test('from an item to both daemons that ran it, by the logs', async t => {
+// A daemon is killed while an item of its job runs, and another one completes it. The trace of the item must contain both, and the
+// second one's metrics must show a configuration no older than a watch.
+test('the logs trace an item through both daemons that ran it', async t => {
   const fleet = await startFleet(2, [new EventEngine({ id: 'i-1', events: 20, pause: 25 })])
   const logs = fleet.daemons.map(({ child }) => {
     const lines: string[] = []
@@ -128,9 +128,9 @@
   }
 })
 
-// The store refuses calls while a job comes: the caller is told that nothing of it runs, and when to come back. A job that
-// doesn't fit under the cap is refused as well, and one that was ended stops and is not found to have lost its results.
-test('jobs: refused while the store is away or too many tokens wait, and ended', async t => {
+// While the store refuses calls, a job must be refused with a time to retry. A job that exceeds the cap on waiting tokens must be
+// refused as well. An ended job must stop its item and stay readable.
+test('jobs are refused while the store is unavailable or too many tokens wait, and stop when ended', async t => {
   const engine = new EventEngine({ id: 'i-1', events: 200, pause: 50 })
   const fleet = await startFleet(1, [engine])
   const { front } = fleet.daemons[0]!.ports
@@ -153,10 +153,9 @@
   }
 })
 
-// The head of a job is stored, its items are not, and the caller is promised nothing: with the items of another attempt it would be
-// whole. The daemon starts again and finds the head. When the job comes again it must not be taken for one that is kept: its items
-// have to be stored first, and then run.
-test('a job of which only the head was stored is no job yet', async t => {
+// The header of a job is stored but its items are not, and the daemon restarts. When the job is submitted again, the daemon must
+// not take it for an accepted one: it must store the items before it accepts and runs the job.
+test('a job of which only the header was stored is not accepted', async t => {
   const engine = new EventEngine({ id: 'i-1' })
   const fleet = await startFleet(1, [engine])
   const daemon = fleet.daemons[0]!
@@ -178,9 +177,9 @@
   }
 })
 
-// The platform stops a daemon: it is no longer named at once, serves on for as long as callers may keep its address, cuts no
-// stream, and ends in time. A change of the configuration and a server that leaves are in force at the one that stays.
-test('a daemon that is told to end cuts nothing, and the other goes on by what the store says', async t => {
+// A daemon that gets SIGTERM must stop being announced at once, serve while callers may still cache its address, cut no stream,
+// and exit. The other daemon must apply a change of the configuration and the removal of a server.
+test('a stopping daemon cuts no stream, and the other daemon follows changes in the store', async t => {
   const engines = ['i-1', 'i-2'].map(id => new EventEngine({ id, events: 100, pause: 20 }))
   const fleet = await startFleet(2, engines)
   const [first, second] = fleet.daemons as [typeof fleet.daemons[0], typeof fleet.daemons[0]]
@@ -189,7 +188,7 @@
     await fleet.waitUntil('both run', () => engines.flatMap(({ runs }) => runs).length === 2)
     first.child!.signal('SIGTERM')
     await fleet.waitUntil('it is no longer ready', async () => !await fleet.isReady(first))
-    await fleet.waitUntil('it is no longer named', async () => (await fleet.listAddresses(second)).length === 1)
+    await fleet.waitUntil('it is no longer announced', async () => (await fleet.listAddresses(second)).length === 1)
     t.deepEqual((await Promise.all(streams)).map(({ text }) => text), [writeStream('/quotes/1', 100), writeStream('/berths/2', 100)])
     t.is(await first.child!.waitForExit(), 0)
     fleet.store.put('config', 'main', createConfiguration(2, { routes: [] }))
@@ -205,8 +204,8 @@
   }
 })
 
-// Nobody reads a daemon's log: the pipe fills. It must go on serving, as writing to a full pipe would stop its loop.
-test('a reader of the log that stops reading costs no request', async t => {
+// The reader of a daemon's log stops, and the pipe fills. A blocking write to it would stop the event loop.
+test('a daemon serves while nothing reads its log', async t => {
   const fleet = await startFleet(1, [new EventEngine({ id: 'i-1', events: 1, pause: 1 })])
   const { child, ports } = fleet.daemons[0]!
   try {
@@ -220,9 +219,9 @@
   }
 })
 
-// The platform changes a daemon's settings, with a signal and without one, and once leaves a file that can't be read. What can
-// change is in force without a restart; the broken file changes nothing, and the daemon serves all the while.
-test('changed settings are in force without a restart, and a broken file changes nothing', async t => {
+// The settings file changes with and without a signal, and is invalid once. Changes must apply without a restart; an invalid file
+// must change nothing and interrupt no service.
+test('changed settings apply without a restart, and an invalid file changes nothing', async t => {
   const fleet = await startFleet(1, [new EventEngine({ id: 'i-1' })])
   const daemon = fleet.daemons[0]!
   const settings = readFileSync(daemon.settings, 'utf8')
@@ -231,45 +230,45 @@
     const before = await readKeep()
     writeFileSync(daemon.settings, settings.replace('ttl_max_s = 5', 'ttl_max_s = 0.5'))
     daemon.child!.signal('SIGHUP')
-    await fleet.waitUntil('the shorter time is named', async () => await readKeep() === 0.5)
+    await fleet.waitUntil('the shorter time is announced', async () => await readKeep() === 0.5)
     writeFileSync(daemon.settings, '[listen')
     daemon.child!.signal('SIGHUP')
     t.is((await call(daemon.ports.front, '/quotes/1')).status, 200)
     t.is(await readKeep(), 0.5)
     writeFileSync(daemon.settings, settings)
-    await fleet.waitUntil('the longer time is named again, without a signal', async () => await readKeep() === before)
+    await fleet.waitUntil('the longer time is announced again, without a signal', async () => await readKeep() === before)
   } finally {
     await fleet.stop()
   }
 })
 
-// The store is cut off from one of two daemons, which still reach each other. A job comes to that one: it must be accepted as fast
-// as callers wait, by way of the other, run, and be readable; a job that is ended there stops.
-test('a daemon that is cut off from the store accepts jobs by way of a peer', async t => {
+// One of two daemons loses its connection to the store but still reaches the other. It must accept a job through the other before
+// callers time out, and the job must run, be readable and be ended there.
+test('a daemon that cannot reach the store accepts jobs through a peer', async t => {
   const engine = new EventEngine({ id: 'i-1', events: 5 })
-  const ways: RelayedPort[] = []
+  const relays: RelayedPort[] = []
   const fleet = await startFleet(2, [engine], {
     resolveStoreAddress: async (daemon, port) => {
-      const way = new RelayedPort(`127.60.${daemon}.1`, port)
-      await way.start()
-      ways.push(way)
-      return way.address
+      const relay = new RelayedPort(`127.60.${daemon}.1`, port)
+      await relay.start()
+      relays.push(relay)
+      return relay.address
     }
   })
   const { front } = fleet.daemons[0]!.ports
   const submit = async (id: string): Promise<Answer> => await call(front, '/drafts/', { id, body: { items: [{ id: `${id}-1`, path: `/drafts/${id}`, headers: {}, body: 'eA==', tokens: 10 }] } })
   try {
     t.is((await submit('before')).status, 202)
-    ways[0]!.setMode({ type: 'silent' })
+    relays[0]!.setMode({ type: 'silent' })
     const began = performance.now()
     t.is((await submit('during')).status, 202)
     t.log({ accepted: Math.round(performance.now() - began) })
     t.true(performance.now() - began < 1_500)
-    await fleet.waitUntil('its result is there', async () => JSON.parse((await call(front, '/api/lots/during?after=0', { method: 'GET' })).text).results?.length === 1)
+    await fleet.waitUntil('its result is available', async () => JSON.parse((await call(front, '/api/lots/during?after=0', { method: 'GET' })).text).results?.length === 1)
     t.is((await call(front, '/api/lots/during', { method: 'DELETE' })).status, 200)
     t.is((await call(front, '/api/lots/never', { method: 'GET' })).status, 404)
   } finally {
     await fleet.stop()
-    for (const way of ways) way.close()
+    for (const relay of relays) relay.close()
   }
 })
--- a/test/whole/openai.test.ts
+++ b/test/whole/openai.test.ts
@@ -15,7 +15,7 @@
   return fleet
 }
 
-test('an ordinary OpenAI client works unchanged: models, answers, streams, files and batches', async t => {
+test('the official OpenAI client works unchanged: models, answers, streams, files and batches', async t => {
   const fleet = await startFleet()
   t.teardown(async () => await fleet.stop())
   const client = new OpenAI({ baseURL: `${fleet.url(fleet.daemons[0]!)}/v1`, apiKey: 'quay-desk-token', maxRetries: 0 })
@@ -43,7 +43,7 @@
   t.true(listed.data.some(({ id }) => id === batch.id))
 })
 
-test('the client shows our errors as its own: a wrong token, an unknown model', async t => {
+test('the OpenAI client maps our errors to its own types: a wrong token, an unknown model', async t => {
   const fleet = await startFleet()
   t.teardown(async () => await fleet.stop())
   const baseURL = `${fleet.url(fleet.daemons[0]!)}/v1`
--- a/test/whole/soak.test.ts
+++ b/test/whole/soak.test.ts
@@ -5,12 +5,12 @@
 interface Case { readonly seed: number, readonly why: string }
 
 const cases: readonly Case[] = [
-  { seed: 1, why: 'a daemon is paused and one killed while settings change and streams break' },
-  { seed: 14, why: 'a server leaves, callers\' packets are late and a daemon is killed: what a relay held was overtaken once' }
+  { seed: 1, why: 'a daemon is paused and one is killed while settings change and streams break off' },
+  { seed: 14, why: 'a server leaves, bytes of callers are delayed and a daemon is killed: a relay must keep the order of delayed bytes' }
 ]
 
-// Callers keep their connections open and use every daemon until it is gone, jobs come, and the troubles of a seed strike
-// processes, the store, servers and the ways between. What callers and servers see must keep each promise.
+// Callers with open connections to every daemon, and submitters of jobs, run while the faults of a seed affect processes, the
+// store, servers and connections. What callers and servers observe must keep every promise.
 for (const { seed, why } of cases) {
   test.serial(`soak ${seed}: ${why}`, async t => {
     t.timeout(90_000)
--- a/test/whole/thin-path.test.ts
+++ b/test/whole/thin-path.test.ts
@@ -5,7 +5,7 @@
 const DOMAINS = ['domain-a', 'domain-b', 'domain-c']
 const ITEMS = 30
 
-test('a caller asks for addresses, gets whole answers and the results of a batch job', async t => {
+test('a caller reads entry addresses, gets complete answers and the results of a batch job', async t => {
   const fleet = await Fleet.start()
   t.teardown(async () => await fleet.stop())
   await Promise.all([
