--- a/stand-ins/engine/engine-state.ts
+++ b/stand-ins/engine/engine-state.ts
@@ -41,7 +41,7 @@
 
   /** Starts loading a model; loads run one after another at the rate of the weight store. */
   private load (model: string, now: number): void {
-    if (this.models.some(slot => slot.model === model)) return
+    if (this.models.some(loaded => loaded.model === model)) return
     const { weightBytes, weightBytesPerSecond } = this.parameters
     this.weightStoreFreeAt = Math.max(now, this.weightStoreFreeAt) + weightBytes / weightBytesPerSecond * 1_000
     this.models = [...this.models, { model, readyAt: this.weightStoreFreeAt }]
