--- a/harness/relayed-port.ts
+++ b/harness/relayed-port.ts
@@ -2,14 +2,14 @@
 import type { RelayMode } from './relay-mode.js'
 import type { RelayedConnection } from './relayed-connection.js'
 
-/** A port of 127.0.0.1 as it is reached by way of another loopback address, with what the way does to connections. */
+/** A port of 127.0.0.1 that is reached through a relay on another loopback address, with one mode for all its connections. */
 export class RelayedPort {
   private readonly relay: Relay
   private readonly connections = new Set<RelayedConnection>()
   private mode: RelayMode = { type: 'open' }
 
   constructor (readonly host: string, readonly port: number) {
-    this.relay = new Relay({ host, port, onOpen: connection => this.keep(connection) })
+    this.relay = new Relay({ host, port, onOpen: connection => this.addConnection(connection) })
   }
 
   get address (): string {
@@ -20,7 +20,7 @@
     await this.relay.start()
   }
 
-  /** Applies to the connections that are open and, but for a reset, to those that come. */
+  /** Sets the mode of open connections and, except for a reset, of new ones. */
   setMode (mode: RelayMode): void {
     this.mode = mode
     for (const connection of this.connections) {
@@ -34,7 +34,7 @@
     for (const connection of this.connections) connection.close()
   }
 
-  private keep (connection: RelayedConnection): void {
+  private addConnection (connection: RelayedConnection): void {
     this.connections.add(connection)
     if (this.mode.type !== 'open' && this.mode.type !== 'reset') connection.setMode(this.mode)
   }
--- a/test/helpers/memory-transport.ts
+++ b/test/helpers/memory-transport.ts
@@ -6,13 +6,14 @@
 import { ObjectTable } from '../../stand-ins/platform/object-table.js'
 import type { PlatformFaults } from '../../stand-ins/platform/platform-faults.js'
 
+/** Of each call, ms. */
 const LATENCY = 2
 const MS_PER_SECOND = 1_000
 
 /** The stand-in platform on virtual time, shared by the clients of a test. */
 export class MemoryTransport implements ApiTransport {
   readonly objects = new ObjectTable()
-  /** When each call came, and whether it was refused for the rate. */
+  /** All calls received, and whether the rate limit refused them. */
   readonly calls: Array<{ readonly at: number, readonly type: ApiCall['type'], refused: boolean }> = []
   private plan = new FaultPlan({})
   private second = { at: -1, reads: 0, writes: 0 }
@@ -51,11 +52,11 @@
       if (typeof done === 'object' || done === true) return { type: 'answered', status: 200, body: done }
       return { type: 'answered', status: 409, body: { version: this.objects.read(kind, name)?.version ?? 0 } }
     }
-    const fate = this.plan.chooseWriteOutcome()
-    if (fate === 'normal') return run()
-    if (fate === 'delayed') this.clock.after(this.plan.faults.delayedWrites!.delay, run)
+    const outcome = this.plan.chooseWriteOutcome()
+    if (outcome === 'normal') return run()
+    if (outcome === 'delayed') this.clock.after(this.plan.faults.delayedWrites!.delay, run)
     else run()
-    return { type: 'no answer', reason: fate }
+    return { type: 'no answer', reason: outcome }
   }
 
   private read (call: Exclude<ApiCall, { type: 'put' | 'delete' }>): ApiAnswer {
