--- a/src/observe/bounded-stream.ts
+++ b/src/observe/bounded-stream.ts
@@ -2,7 +2,7 @@
 import { Socket } from 'node:net'
 
 /** Bytes that may wait for a slow reader before lines are left out. */
-const MAX_WAITING = 262_144
+const MAX_BUFFERED_BYTES = 262_144
 
 /**
  * Writes lines to a descriptor without ever waiting for its reader. Node writes to a pipe in the loop's own turn, so that
@@ -21,7 +21,7 @@
   }
 
   override _write (line: string | Buffer, _encoding: string, done: () => void): void {
-    if (this.target.writableLength > MAX_WAITING) this.dropped++
+    if (this.target.writableLength > MAX_BUFFERED_BYTES) this.dropped++
     else this.target.write(line)
     done()
   }
--- a/src/observe/build-timeline-page.ts
+++ b/src/observe/build-timeline-page.ts
@@ -23,12 +23,12 @@
   const lanes = [...new Set(events.map(({ instance }) => instance))].sort()
   const width = TIME_WIDTH + lanes.length * LANE_WIDTH
   const height = HEADER_HEIGHT + (events.length + 1) * ROW_HEIGHT
-  const drawn = [
+  const shapes = [
     ...lanes.map((lane, i) => drawLane(lane, i, height)),
     ...events.map((event, row) => drawEvent(event, row, lanes.indexOf(event.instance), { start: events[0]!.time, colour: getColour(event) }))
   ]
   return `<!doctype html><html lang="en"><meta charset="utf-8"><title>${escapeHtml(title)}</title><style>${STYLE}</style>` +
-    `<h1>${escapeHtml(title)}</h1>${before}<svg width="${width}" height="${height}" role="img">${drawn.join('')}</svg>${after}</html>\n`
+    `<h1>${escapeHtml(title)}</h1>${before}<svg width="${width}" height="${height}" role="img">${shapes.join('')}</svg>${after}</html>\n`
 }
 
 function drawLane (lane: string, i: number, height: number): string {
@@ -39,7 +39,7 @@
 function drawEvent (event: TimelineEvent, row: number, lane: number, { start, colour }: { readonly start: number, readonly colour: string }): string {
   const x = TIME_WIDTH + lane * LANE_WIDTH
   const y = HEADER_HEIGHT + (row + 1) * ROW_HEIGHT
-  const about = [event.request, event.job, event.server, event.detail].filter(value => value !== undefined).join(' ')
-  return `<g><title>${escapeHtml(about)}</title><text class="time" x="0" y="${y}">${formatOffset(event.time - start)}</text>` +
+  const tooltip = [event.request, event.job, event.server, event.detail].filter(value => value !== undefined).join(' ')
+  return `<g><title>${escapeHtml(tooltip)}</title><text class="time" x="0" y="${y}">${formatOffset(event.time - start)}</text>` +
     `<circle fill="${colour}" cx="${x}" cy="${y - 4}" r="4"/><text x="${x + 8}" y="${y}">${escapeHtml(`${event.part}: ${event.what}`)}</text></g>`
 }
--- a/src/observe/build-trace-event.ts
+++ b/src/observe/build-trace-event.ts
@@ -8,8 +8,8 @@
 export function buildTraceEvent ({ line, kind, inputs }: PickedLine, inferred: string | undefined): TraceEvent {
   const { request, server } = line.fields
   const job = findLineJob(line)
-  const known = inputs === undefined ? '' : showInputs(inputs)
-  const detail = [showFields(line), known === '' ? '' : `[by ${known}]`, inferred === undefined ? '' : `(${inferred})`].filter(Boolean).join(' ')
+  const shownInputs = inputs === undefined ? '' : showInputs(inputs)
+  const detail = [formatFields(line), shownInputs === '' ? '' : `[by ${shownInputs}]`, inferred === undefined ? '' : `(${inferred})`].filter(Boolean).join(' ')
   return {
     time: line.time,
     instance: line.instance,
@@ -28,6 +28,6 @@
   }
 }
 
-function showFields ({ fields: { request, job, server, ...rest } }: LogLine): string {
+function formatFields ({ fields: { request, job, server, ...rest } }: LogLine): string {
   return Object.entries(rest).map(([key, value]) => `${key}=${typeof value === 'string' ? value : JSON.stringify(value)}`).join(' ')
 }
--- a/src/observe/create-bounded-log.ts
+++ b/src/observe/create-bounded-log.ts
@@ -1,6 +1,6 @@
 import winston from 'winston'
 import { BoundedStream } from './bounded-stream.js'
-import { LineBudget } from './line-budget.js'
+import { LogRateLimiter } from './log-rate-limiter.js'
 import type { LogSink } from './log-sink.js'
 
 const STDOUT = 1
@@ -12,7 +12,7 @@
  */
 export function createBoundedLog ({ instance, level = 'info' }: { readonly instance: string, readonly level?: string }): LogSink {
   const stream = new BoundedStream(STDOUT, process.stdout)
-  const budget = new LineBudget()
+  const limiter = new LogRateLimiter()
   const logger = winston.createLogger({
     level,
     format: winston.format.combine(winston.format.timestamp(), winston.format.json()),
@@ -20,15 +20,15 @@
     transports: [new winston.transports.Stream({ stream })]
   })
   const summarize = (): void => {
-    const left = budget.takeLeft()
-    if (left.size > 0 || stream.dropped > 0) logger.log('warn', 'left lines out', { part: 'log', left: Object.fromEntries(left), unread: stream.dropped })
+    const dropped = limiter.takeDropped()
+    if (dropped.size > 0 || stream.dropped > 0) logger.log('warn', 'left lines out', { part: 'log', left: Object.fromEntries(dropped), unread: stream.dropped })
     stream.dropped = 0
   }
   setInterval(summarize, SUMMARY_PERIOD).unref()
   return {
-    write: (level, part, sentence, fields = {}) => {
-      if (level !== 'error' && level !== 'warn' && !budget.take(`${part}: ${sentence}`, performance.now())) return
-      logger.log(level, sentence, { part, ...fields })
+    write: (level, part, message, fields = {}) => {
+      if (level !== 'error' && level !== 'warn' && !limiter.tryAcquire(`${part}: ${message}`, performance.now())) return
+      logger.log(level, message, { part, ...fields })
     }
   }
 }
--- a/src/observe/create-log.ts
+++ b/src/observe/create-log.ts
@@ -13,5 +13,5 @@
     defaultMeta: format === 'json' ? { instance } : {},
     transports: [new winston.transports.Console({ stderrLevels: ['error', 'warn', 'info', 'debug'] })]
   })
-  return { write: (level, part, sentence, fields = {}) => logger.log(level, sentence, { part, ...fields }) }
+  return { write: (level, part, message, fields = {}) => logger.log(level, message, { part, ...fields }) }
 }
--- a/src/observe/known-inputs.ts
+++ b/src/observe/decision-inputs.ts
@@ -1,5 +1,5 @@
 /** What a daemon went by when it wrote a line, as far as its log tells; `elsewhere` is what others knew better. Ages are in ms. */
-export interface KnownInputs {
+export interface DecisionInputs {
   /** The configuration in force there, and for how long it was. */
   readonly configuration?: { readonly version: number, readonly age: number, readonly elsewhere?: { readonly version: number, readonly age: number } }
   /** The servers of the line as last heard. */
--- a/src/observe/draw-bars.ts
+++ b/src/observe/draw-bars.ts
@@ -3,7 +3,7 @@
 const BARS_WIDTH = 450
 const VALUE_WIDTH = 90
 const LABEL_WIDTH = 190
-const BAR = 20
+const BAR_HEIGHT = 20
 const GAP = 8
 const COLOURS = ['#36c', '#6ab', '#c73', '#a36'] as const
 
@@ -16,15 +16,15 @@
   readonly labelWidth?: number
 }): string {
   const highest = Math.max(1e-9, ...rows.flatMap(({ values }) => values))
-  const group = series.length * BAR + GAP
+  const group = series.length * BAR_HEIGHT + GAP
   const height = 50 + rows.length * group
   const bars = rows.flatMap(({ label, values }, row) => [
-    `<text x="0" y="${50 + row * group + BAR}">${escapeHtml(label)}</text>`,
+    `<text x="0" y="${50 + row * group + BAR_HEIGHT}">${escapeHtml(label)}</text>`,
     ...values.map((value, i) => {
-      const y = 50 + row * group + i * BAR
+      const y = 50 + row * group + i * BAR_HEIGHT
       const width = value / highest * (BARS_WIDTH - VALUE_WIDTH)
-      return `<rect x="${labelWidth}" y="${y}" width="${width.toFixed(1)}" height="${BAR - 3}" fill="${COLOURS[i % COLOURS.length]}"/>` +
-        `<text x="${(labelWidth + width + 5).toFixed(1)}" y="${y + BAR - 7}">${Number(value.toPrecision(4))} ${escapeHtml(unit)}</text>`
+      return `<rect x="${labelWidth}" y="${y}" width="${width.toFixed(1)}" height="${BAR_HEIGHT - 3}" fill="${COLOURS[i % COLOURS.length]}"/>` +
+        `<text x="${(labelWidth + width + 5).toFixed(1)}" y="${y + BAR_HEIGHT - 7}">${Number(value.toPrecision(4))} ${escapeHtml(unit)}</text>`
     })
   ])
   const legend = series.map((name, i) => `<tspan fill="${COLOURS[i % COLOURS.length]}">${escapeHtml(name)}  </tspan>`).join('')
--- a/src/observe/find-subject.ts
+++ b/src/observe/find-subject.ts
@@ -10,11 +10,11 @@
  * findSubject('cd1a93e9cb19cccf', lines) // { type: 'item', id: 'cd1a93e9cb19cccf', jobs: new Set(['d95e23c61a4bcd29']) }
  */
 export function findSubject (id: string, lines: readonly LogLine[]): TraceSubject | undefined {
-  const asked = lines.filter(({ fields }) => fields.request === id)
+  const ofRequest = lines.filter(({ fields }) => fields.request === id)
   const ofJob = lines.filter(line => findLineJob(line) === id)
   if (ofJob.length > 0) return { type: 'job', id, items: new Set(ofJob.map(({ fields }) => fields.request).filter((item): item is string => typeof item === 'string' && item !== id)) }
-  const jobs = new Set(asked.map(findLineJob).filter(job => job !== undefined))
+  const jobs = new Set(ofRequest.map(findLineJob).filter(job => job !== undefined))
   if (jobs.size > 0) return { type: 'item', id, jobs }
-  if (asked.length > 0) return { type: 'request', id }
+  if (ofRequest.length > 0) return { type: 'request', id }
   return lines.some(line => listLineServers(line).includes(id)) ? { type: 'server', id } : undefined
 }
--- a/src/observe/find-touched.ts
+++ b/src/observe/find-trace-scope.ts
@@ -1,10 +1,10 @@
 import { listLineServers } from './list-line-servers.js'
 import type { LogLine } from './log-line.js'
-import { logSentences } from './log-sentences.js'
-import type { Touched } from './touched.js'
+import { logPatterns } from './log-patterns.js'
+import type { TraceScope } from './trace-scope.js'
 import type { TraceSubject } from './trace-subject.js'
 
-interface FindTouchedOptions {
+interface FindTraceScopeOptions {
   readonly subject: TraceSubject
   /** Instances, by the names under which lines speak of them. */
   readonly instances: ReadonlyMap<string, string>
@@ -14,18 +14,18 @@
  * The servers and instances that the lines of a course name, and when. A daemon that ended may have written nothing of it: the lines
  * of the others that name it say when to look at its log. A server's usual requests are no moments to look at.
  */
-export function findTouched (lines: readonly LogLine[], { subject, instances }: FindTouchedOptions): Touched {
-  const times = new Map<string, number[]>()
+export function findTraceScope (lines: readonly LogLine[], { subject, instances }: FindTraceScopeOptions): TraceScope {
+  const timesByInstance = new Map<string, number[]>()
   for (const line of lines) {
-    const isMoment = subject.type !== 'server' || !logSentences.isRoutine(line)
+    const isRelevantTime = subject.type !== 'server' || !logPatterns.isRoutine(line)
     for (const instance of listInstances(line, instances)) {
-      const known = times.get(instance) ?? []
-      if (isMoment) known.push(line.time)
-      times.set(instance, known)
+      const known = timesByInstance.get(instance) ?? []
+      if (isRelevantTime) known.push(line.time)
+      timesByInstance.set(instance, known)
     }
   }
-  for (const list of times.values()) list.sort((a, b) => a - b)
-  return { servers: new Set(subject.type === 'server' ? [subject.id] : lines.flatMap(listLineServers)), times }
+  for (const list of timesByInstance.values()) list.sort((a, b) => a - b)
+  return { servers: new Set(subject.type === 'server' ? [subject.id] : lines.flatMap(listLineServers)), timesByInstance }
 }
 
 /** The instance that wrote the line, and those that it names. */
--- a/src/observe/has-within.ts
+++ b/src/observe/has-time-between.ts
@@ -1,5 +1,5 @@
 /** Whether one of the times, which are in order, lies from `from` to `to`. */
-export function hasWithin (times: readonly number[], from: number, to: number): boolean {
+export function hasTimeBetween (times: readonly number[], from: number, to: number): boolean {
   let [low, high] = [0, times.length]
   while (low < high) {
     const middle = (low + high) >> 1
--- /dev/null
+++ b/src/observe/list-clock-skews.ts
@@ -0,0 +1,13 @@
+import type { OrderConstraint } from './order-constraint.js'
+import type { Trace } from './trace.js'
+
+/** The clocks that must differ, because a line that must have come first has the later stamp. */
+export function listClockSkews (constraints: readonly OrderConstraint[]): Trace['clocks'] {
+  const skews = new Map<string, Trace['clocks'][number]>()
+  for (const { earlier, later } of constraints) {
+    const key = JSON.stringify([later.instance, earlier.instance])
+    const least = earlier.time - later.time
+    if (least > (skews.get(key)?.least ?? 0)) skews.set(key, { behind: later.instance, ahead: earlier.instance, least })
+  }
+  return [...skews.values()]
+}
--- a/src/observe/log-survey.ts
+++ b/src/observe/log-survey.ts
@@ -1,6 +1,6 @@
-import type { FleetNews } from './fleet-news.js'
+import type { FleetHistory } from './fleet-history.js'
 import type { LogLine } from './log-line.js'
-import type { UnreadLines } from './unread-lines.js'
+import type { ReadProblem } from './read-problem.js'
 
 /** What a first look at a folder of logs finds. */
 export interface LogSurvey {
@@ -11,6 +11,6 @@
   readonly instances: ReadonlyMap<string, string>
   /** Lines that have the id in one of their fields. */
   readonly mentions: readonly LogLine[]
-  readonly news: FleetNews
-  readonly unread: readonly UnreadLines[]
+  readonly history: FleetHistory
+  readonly unread: readonly ReadProblem[]
 }
--- a/src/observe/loop-delay.ts
+++ b/src/observe/loop-delay.ts
@@ -8,9 +8,9 @@
 /** As the pause watch's, so that both share a wake-up of the process, ms. */
 const PERIOD = 250
 /** Periodic tasks run at multiples of their period, or up to this before them, ms. */
-const EARLY = 1
+const TOLERANCE = 1
 /** For how long the longest delay is shown, ms: at least one time, at most two, so that a scraper that comes in between sees it. */
-const LONGEST_KEPT = 15_000
+const WINDOW = 15_000
 
 /**
  * How late the event loop runs a periodic task: while it is busy, requests and answers wait as long. `loop_delay_ms` has all delays
@@ -20,16 +20,16 @@
 export class LoopDelay implements Part {
   private due = Infinity
   private longest = 0
-  private longestBefore = 0
-  private since: number
+  private previousLongest = 0
+  private windowStart: number
   private cancel = (): void => {}
 
   constructor (
     @inject(tokens.clock) private readonly clock: Clock,
     @inject(Metrics) private readonly metrics: Metrics
   ) {
-    this.since = clock.now()
-    metrics.gauge('loop_delay_longest_ms', () => Math.round(Math.max(this.longest, this.longestBefore)))
+    this.windowStart = clock.now()
+    metrics.gauge('loop_delay_longest_ms', () => Math.round(Math.max(this.longest, this.previousLongest)))
   }
 
   async start (): Promise<void> {
@@ -43,12 +43,12 @@
   private check (): void {
     const now = this.clock.now()
     const delay = Math.max(0, now - this.due)
-    this.due = (Math.floor((now + EARLY) / PERIOD) + 1) * PERIOD
+    this.due = (Math.floor((now + TOLERANCE) / PERIOD) + 1) * PERIOD
     this.metrics.observe('loop_delay_ms', delay)
-    if (now >= this.since + LONGEST_KEPT) {
-      this.longestBefore = now < this.since + 2 * LONGEST_KEPT ? this.longest : 0
+    if (now >= this.windowStart + WINDOW) {
+      this.previousLongest = now < this.windowStart + 2 * WINDOW ? this.longest : 0
       this.longest = 0
-      this.since = now
+      this.windowStart = now
     }
     this.longest = Math.max(this.longest, delay)
   }
--- a/src/observe/metrics.ts
+++ b/src/observe/metrics.ts
@@ -16,18 +16,18 @@
 
   /** Adds to a counter; its name ends in `_total`. */
   count (name: string, labels: Labels = {}, by = 1): void {
-    const key = name + showLabels(labels)
+    const key = name + formatLabels(labels)
     this.counters.set(key, (this.counters.get(key) ?? 0) + by)
   }
 
   /** Registers a gauge that is read when the metrics are. */
   gauge (name: string, read: () => number, labels: Labels = {}): void {
-    this.gauges.set(name + showLabels(labels), read)
+    this.gauges.set(name + formatLabels(labels), read)
   }
 
   /** Records a time in ms; its name ends in `_ms`. */
   observe (name: string, time: number, labels: Labels = {}): void {
-    const key = name + showLabels(labels)
+    const key = name + formatLabels(labels)
     const histogram = this.histograms.get(key) ?? build({ lowestDiscernibleValue: 1, highestTrackableValue: HIGHEST_VALUE * MICROS_PER_MS, numberOfSignificantValueDigits: 2 })
     this.histograms.set(key, histogram)
     histogram.recordValue(Math.min(Math.max(0, Math.round(time * MICROS_PER_MS)), HIGHEST_VALUE * MICROS_PER_MS))
@@ -35,7 +35,7 @@
 
   /** A quantile of what was observed, in ms; 0 where nothing was. */
   quantile (name: string, percentile: number, labels: Labels = {}): number {
-    return (this.histograms.get(name + showLabels(labels))?.getValueAtPercentile(percentile) ?? 0) / MICROS_PER_MS
+    return (this.histograms.get(name + formatLabels(labels))?.getValueAtPercentile(percentile) ?? 0) / MICROS_PER_MS
   }
 
   /** Everything, in the Prometheus text format. */
@@ -50,8 +50,8 @@
 function writeHistogram (key: string, histogram: Histogram): string[] {
   const [name, labels] = splitKey(key)
   const quantiles = QUANTILES.map(percentile => {
-    const all = [labels, `quantile="${percentile / 100}"`].filter(Boolean).join(',')
-    return `${name}{${all}} ${histogram.getValueAtPercentile(percentile) / MICROS_PER_MS}`
+    const allLabels = [labels, `quantile="${percentile / 100}"`].filter(Boolean).join(',')
+    return `${name}{${allLabels}} ${histogram.getValueAtPercentile(percentile) / MICROS_PER_MS}`
   })
   return [...quantiles, `${name}_count${labels && `{${labels}}`} ${histogram.totalCount}`]
 }
@@ -61,7 +61,7 @@
   return brace < 0 ? [key, ''] : [key.slice(0, brace), key.slice(brace + 1, -1)]
 }
 
-function showLabels (labels: Labels): string {
+function formatLabels (labels: Labels): string {
   const shown = Object.entries(labels).map(([name, value]) => `${name}=${JSON.stringify(value)}`)
   return shown.length === 0 ? '' : `{${shown.join(',')}}`
 }
--- a/src/observe/order-lines.ts
+++ b/src/observe/order-lines.ts
@@ -1,7 +1,7 @@
 import type { LogLine } from './log-line.js'
-import type { OrderRule } from './order-rule.js'
+import type { OrderConstraint } from './order-constraint.js'
 
-interface PlacedLine {
+interface OrderedLine {
   readonly line: LogLine
   /** Why it stands after a line with a later stamp. */
   readonly inferred?: string
@@ -16,30 +16,30 @@
  * @example
  * orderLines(lines, listOrderRules(lines, instances))
  */
-export function orderLines (lines: readonly LogLine[], rules: readonly OrderRule[]): readonly PlacedLine[] {
+export function orderLines (lines: readonly LogLine[], constraints: readonly OrderConstraint[]): readonly OrderedLine[] {
   const streams = splitStreams(lines)
-  const causes = indexRules(rules)
-  const placed: PlacedLine[] = []
+  const constraintsByLine = indexConstraints(constraints)
+  const ordered: OrderedLine[] = []
   const done = new Set<LogLine>()
   let latest = -Infinity
   for (let i = 0; i < lines.length; i++) {
-    const open = streams.filter(({ lines, next }) => next < lines.length)
-    const free = open.filter(stream => (causes.get(getHead(stream)) ?? []).every(({ earlier }) => done.has(earlier)))
+    const unfinished = streams.filter(({ lines, next }) => next < lines.length)
+    const ready = unfinished.filter(stream => (constraintsByLine.get(getNext(stream)) ?? []).every(({ earlier }) => done.has(earlier)))
     // Rules that contradict the order of the processes leave none free.
-    const stream = findFirst(free.length > 0 ? free : open)
-    const line = getHead(stream)
-    const inferred = line.time < latest ? showInference(stream, causes.get(line) ?? [], latest) : undefined
-    placed.push({ line, ...inferred !== undefined && { inferred } })
+    const stream = findEarliest(ready.length > 0 ? ready : unfinished)
+    const line = getNext(stream)
+    const inferred = line.time < latest ? showReason(stream, constraintsByLine.get(line) ?? [], latest) : undefined
+    ordered.push({ line, ...inferred !== undefined && { inferred } })
     stream.next++
     done.add(line)
     latest = Math.max(latest, line.time)
   }
-  return placed
+  return ordered
 }
 
 /** By line: the rules that say what must stand before it. */
-function indexRules (rules: readonly OrderRule[]): ReadonlyMap<LogLine, readonly OrderRule[]> {
-  const index = new Map<LogLine, OrderRule[]>()
+function indexConstraints (rules: readonly OrderConstraint[]): ReadonlyMap<LogLine, readonly OrderConstraint[]> {
+  const index = new Map<LogLine, OrderConstraint[]>()
   for (const rule of rules) {
     const known = index.get(rule.later)
     if (known === undefined) index.set(rule.later, [rule])
@@ -60,24 +60,24 @@
   return [...streams.values()].map(lines => ({ lines: lines.sort((a, b) => a.number - b.number), next: 0 }))
 }
 
-function getHead ({ lines, next }: Stream): LogLine {
+function getNext ({ lines, next }: Stream): LogLine {
   return lines[next]!
 }
 
-function findFirst (streams: readonly Stream[]): Stream {
-  return streams.reduce((first, stream) => compareLines(getHead(stream), getHead(first)) < 0 ? stream : first)
+function findEarliest (streams: readonly Stream[]): Stream {
+  return streams.reduce((first, stream) => compareLines(getNext(stream), getNext(first)) < 0 ? stream : first)
 }
 
 function compareLines (a: LogLine, b: LogLine): number {
   return a.time - b.time || (a.instance < b.instance ? -1 : a.instance > b.instance ? 1 : 0)
 }
 
-function showInference (stream: Stream, rules: readonly OrderRule[], latest: number): string {
-  const line = getHead(stream)
+function showReason (stream: Stream, rules: readonly OrderConstraint[], latest: number): string {
+  const line = getNext(stream)
   const rule = rules.find(({ earlier }) => earlier.time > line.time)
   const before = stream.lines[stream.next - 1]
   const why = rule !== undefined
-    ? rule.why
+    ? rule.reason
     : before !== undefined && before.time > line.time
       ? 'its process wrote it after the line before, and its clock was set back'
       : 'its process wrote it after a line that must have come later'
--- a/src/observe/picked-line.ts
+++ b/src/observe/picked-line.ts
@@ -1,4 +1,4 @@
-import type { KnownInputs } from './known-inputs.js'
+import type { DecisionInputs } from './decision-inputs.js'
 import type { LogLine } from './log-line.js'
 import type { TraceEvent } from './trace-event.js'
 
@@ -6,5 +6,5 @@
 export interface PickedLine {
   readonly line: LogLine
   readonly kind: TraceEvent['kind']
-  readonly inputs?: KnownInputs
+  readonly inputs?: DecisionInputs
 }
--- a/src/observe/read-file-lines.ts
+++ b/src/observe/read-file-lines.ts
@@ -1,7 +1,7 @@
 import { createReadStream } from 'node:fs'
 
 /** Characters of a line after which it is cut: a file without line ends isn't a log. */
-const MAX_LINE = 1_048_576
+const MAX_LINE_LENGTH = 1_048_576
 
 /** The lines of a file, one after the other, so that a file may be larger than the memory. */
 export async function * readFileLines (path: string): AsyncGenerator<string> {
@@ -10,7 +10,7 @@
     const lines = (rest + String(chunk)).split('\n')
     rest = lines.pop()!
     yield * lines
-    if (rest.length <= MAX_LINE) continue
+    if (rest.length <= MAX_LINE_LENGTH) continue
     yield rest
     rest = ''
   }
--- a/src/observe/unread-book.ts
+++ b/src/observe/read-problem-collector.ts
@@ -1,22 +1,22 @@
-import type { UnreadLines } from './unread-lines.js'
+import type { ReadProblem } from './read-problem.js'
 
 interface BrokenLine { readonly file: string, readonly number: number, readonly text: string }
 
 /** Gathers what could not be read of a folder of logs. */
-export class UnreadBook {
+export class ReadProblemCollector {
   private readonly broken = new Map<string, { readonly first: number, count: number, readonly withId: Array<Pick<BrokenLine, 'number' | 'text'>> }>()
   private readonly unreadable = new Map<string, string>()
   /** Finds the id where it isn't part of a longer word. */
-  private readonly idWord: RegExp
+  private readonly idPattern: RegExp
 
   constructor (id: string) {
-    this.idWord = new RegExp(`(?<![\\w-])${id.replace(/[^\w]/g, '\\$&')}(?![\\w-])`)
+    this.idPattern = new RegExp(`(?<![\\w-])${id.replace(/[^\w]/g, '\\$&')}(?![\\w-])`)
   }
 
   addBroken ({ file, number, text }: BrokenLine): void {
     const known = this.broken.get(file) ?? { first: number, count: 0, withId: [] }
     known.count++
-    if (this.idWord.test(text)) known.withId.push({ number, text })
+    if (this.idPattern.test(text)) known.withId.push({ number, text })
     this.broken.set(file, known)
   }
 
@@ -25,7 +25,7 @@
   }
 
   /** `logs`: the files that have lines of a log. */
-  list (logs: ReadonlySet<string>): readonly UnreadLines[] {
+  list (logs: ReadonlySet<string>): readonly ReadProblem[] {
     return [
       ...[...this.unreadable].map(([file, detail]) => ({ type: 'unreadable', file, detail } as const)),
       ...[...this.broken].map(([file, { first, count, withId }]) => logs.has(file) || withId.length > 0
--- a/src/observe/unread-lines.ts
+++ b/src/observe/read-problem.ts
@@ -1,5 +1,5 @@
 /** What of a file could not be read as lines of a log. */
-export type UnreadLines =
+export type ReadProblem =
   /** It can't be read, or not to its end. */
   | { readonly type: 'unreadable', readonly file: string, readonly detail: string }
   /** No line of it is one of a log. */
--- a/src/observe/read-survey.ts
+++ b/src/observe/read-survey.ts
@@ -1,9 +1,9 @@
-import { FleetNews } from './fleet-news.js'
+import { FleetHistory } from './fleet-history.js'
 import { listLineServers } from './list-line-servers.js'
 import type { LogLine } from './log-line.js'
 import type { LogSurvey } from './log-survey.js'
 import { readLogs } from './read-logs.js'
-import { UnreadBook } from './unread-book.js'
+import { ReadProblemCollector } from './read-problem-collector.js'
 
 interface ReadSurveyOptions {
   readonly folder: string
@@ -13,23 +13,23 @@
 
 /** Reads all lines once: which instances there are, which lines have the id, and what can't be read. */
 export async function readSurvey ({ folder, files, id }: ReadSurveyOptions): Promise<LogSurvey> {
-  const unread = new UnreadBook(id)
-  const firsts = new Map<string, number>()
+  const problems = new ReadProblemCollector(id)
+  const startTimes = new Map<string, number>()
   const instances = new Map<string, string>()
   const mentions: LogLine[] = []
-  const news = new FleetNews()
+  const history = new FleetHistory()
   let lines = 0
-  for await (const line of readLogs({ folder, files, onBroken: broken => unread.addBroken(broken), onUnreadable: (file, detail) => unread.addUnreadable(file, detail) })) {
+  for await (const line of readLogs({ folder, files, onBroken: broken => problems.addBroken(broken), onUnreadable: (file, detail) => problems.addUnreadable(file, detail) })) {
     lines++
-    news.observe(line)
-    if (!firsts.has(line.file)) firsts.set(line.file, line.time)
+    history.observe(line)
+    if (!startTimes.has(line.file)) startTimes.set(line.file, line.time)
     instances.set(line.instance, line.instance)
     const { part, fields: { name } } = line
     if (part === 'kernel' && typeof name === 'string') instances.set(name, line.instance)
     if (hasId(line, id)) mentions.push(line)
   }
-  const ordered = [...firsts].sort(([, a], [, b]) => a - b).map(([file]) => file)
-  return { files: ordered, lines, instances, mentions, news, unread: unread.list(new Set(ordered)) }
+  const ordered = [...startTimes].sort(([, a], [, b]) => a - b).map(([file]) => file)
+  return { files: ordered, lines, instances, mentions, history, unread: problems.list(new Set(ordered)) }
 }
 
 function hasId (line: LogLine, id: string): boolean {
--- a/src/observe/read-trace.ts
+++ b/src/observe/read-trace.ts
@@ -2,12 +2,12 @@
 import { failUnreachable } from '../kernel/unreachable.js'
 import { buildTraceEvent } from './build-trace-event.js'
 import { findSubject } from './find-subject.js'
-import { findTouched } from './find-touched.js'
+import { findTraceScope } from './find-trace-scope.js'
 import { isSubjectLine } from './is-subject-line.js'
 import { LinePicker } from './line-picker.js'
-import { listClocks } from './list-clocks.js'
+import { listClockSkews } from './list-clock-skews.js'
 import { listLogFiles } from './list-log-files.js'
-import { listOrderRules } from './list-order-rules.js'
+import { listOrderConstraints } from './list-order-constraints.js'
 import type { LogLine } from './log-line.js'
 import type { LogSurvey } from './log-survey.js'
 import { orderLines } from './order-lines.js'
@@ -39,10 +39,10 @@
   if (lines === 0) return Err({ type: 'no log', files: listed.val.length, unread })
   const subject = findSubject(id, mentions)
   if (subject === undefined) return Err({ type: 'unknown id', lines, instances: new Set(instances.values()).size, unread })
-  const touched = findTouched(await readSubjectLines(folder, subject, survey), { subject, instances })
-  const picker = new LinePicker({ subject, touched, news: survey.news })
+  const scope = findTraceScope(await readSubjectLines(folder, subject, survey), { subject, instances })
+  const picker = new LinePicker({ subject, scope, history: survey.history })
   for await (const line of readLogs({ folder, files })) picker.observe(line)
-  return Ok(buildTrace(subject, picker, { survey, servers: [...touched.servers].sort(), instances: [...touched.times.keys()].sort() }))
+  return Ok(buildTrace(subject, picker, { survey, servers: [...scope.servers].sort(), instances: [...scope.timesByInstance.keys()].sort() }))
 }
 
 /** The lines of the subject: those of an item's job, and of a job's items, may not have its id. */
@@ -54,18 +54,18 @@
 }
 
 function buildTrace (subject: TraceSubject, picker: LinePicker, { survey, servers, instances }: { readonly survey: LogSurvey } & Pick<Trace, 'servers' | 'instances'>): Trace {
-  const picked = new Map(picker.picked.map(one => [one.line, one]))
-  const lines = [...picked.keys()]
-  const rules = listOrderRules(lines, survey.instances)
+  const pickedByLine = new Map(picker.picked.map(one => [one.line, one]))
+  const lines = [...pickedByLine.keys()]
+  const constraints = listOrderConstraints(lines, survey.instances)
   return {
     id: subject.id,
     type: subject.type,
     related: listRelated(subject),
     instances,
     servers,
-    events: orderLines(lines, rules).map(({ line, inferred }) => buildTraceEvent(picked.get(line)!, inferred)),
-    counted: picker.listCounted(),
-    clocks: listClocks(rules),
+    events: orderLines(lines, constraints).map(({ line, inferred }) => buildTraceEvent(pickedByLine.get(line)!, inferred)),
+    counted: picker.listOmitted(),
+    clocks: listClockSkews(constraints),
     unread: survey.unread
   }
 }
--- a/src/observe/show-read-problems.ts
+++ b/src/observe/show-read-problems.ts
@@ -1,8 +1,8 @@
 import { failUnreachable } from '../kernel/unreachable.js'
-import type { UnreadLines } from './unread-lines.js'
+import type { ReadProblem } from './read-problem.js'
 
 /** What could not be read, a line a file, with broken lines that hold the id as they stand. */
-export function showReadProblems (unread: readonly UnreadLines[]): readonly string[] {
+export function showReadProblems (unread: readonly ReadProblem[]): readonly string[] {
   return unread.flatMap(one => {
     switch (one.type) {
       case 'unreadable': return [`${one.file} can't be read: ${one.detail}`]
--- a/src/observe/show-trace-head.ts
+++ b/src/observe/show-trace-header.ts
@@ -1,10 +1,10 @@
 import type { Trace } from './trace.js'
 
-const RELATED_SHOWN = 5
+const MAX_RELATED = 5
 
 /** What the id names, and what its course touched. */
-export function showTraceHead ({ type, id, related, instances, servers }: Trace): string {
-  const shown = related.slice(0, RELATED_SHOWN).join(', ') + (related.length > RELATED_SHOWN ? ` and ${related.length - RELATED_SHOWN} more` : '')
+export function showTraceHeader ({ type, id, related, instances, servers }: Trace): string {
+  const shown = related.slice(0, MAX_RELATED).join(', ') + (related.length > MAX_RELATED ? ` and ${related.length - MAX_RELATED} more` : '')
   return [
     `${type} ${id}`,
     ...related.length === 0 ? [] : [`${type === 'item' ? 'of job' : 'with items'} ${shown}`],
--- a/src/observe/timeline.ts
+++ b/src/observe/timeline.ts
@@ -4,7 +4,7 @@
 import { tokens } from '../kernel/tokens.js'
 import type { TimelineEvent } from './timeline-event.js'
 
-const KEPT_EVENTS = 20_000
+const MAX_EVENTS = 20_000
 /** Two events of one process in the same millisecond are told apart by thousandths. */
 const TICK = 0.001
 
@@ -14,7 +14,7 @@
  */
 @scoped(Lifecycle.ContainerScoped)
 export class Timeline {
-  private readonly kept: TimelineEvent[] = []
+  private readonly events: TimelineEvent[] = []
   private last = 0
 
   constructor (
@@ -33,12 +33,12 @@
   }
 
   record (event: Omit<TimelineEvent, 'time' | 'instance'>): void {
-    this.kept.push({ time: this.tick(), instance: this.settings.instance, ...event })
-    if (this.kept.length > KEPT_EVENTS) this.kept.splice(0, KEPT_EVENTS / 10)
+    this.events.push({ time: this.tick(), instance: this.settings.instance, ...event })
+    if (this.events.length > MAX_EVENTS) this.events.splice(0, MAX_EVENTS / 10)
   }
 
   /** Kept events, oldest first, of one request or one job where given; with `around` also those of no request and no job. */
   find ({ request, job, around = false }: { readonly request?: string, readonly job?: string, readonly around?: boolean } = {}): readonly TimelineEvent[] {
-    return this.kept.filter(event => (around && event.request === undefined && event.job === undefined) || ((request === undefined || event.request === request) && (job === undefined || event.job === job)))
+    return this.events.filter(event => (around && event.request === undefined && event.job === undefined) || ((request === undefined || event.request === request) && (job === undefined || event.job === job)))
   }
 }
--- a/src/observe/trace-error.ts
+++ b/src/observe/trace-error.ts
@@ -1,7 +1,7 @@
-import type { UnreadLines } from './unread-lines.js'
+import type { ReadProblem } from './read-problem.js'
 
 /** Why logs tell nothing of an id. */
 export type TraceError =
   | { readonly type: 'no folder', readonly detail: string }
-  | { readonly type: 'no log', readonly files: number, readonly unread: readonly UnreadLines[] }
-  | { readonly type: 'unknown id', readonly lines: number, readonly instances: number, readonly unread: readonly UnreadLines[] }
+  | { readonly type: 'no log', readonly files: number, readonly unread: readonly ReadProblem[] }
+  | { readonly type: 'unknown id', readonly lines: number, readonly instances: number, readonly unread: readonly ReadProblem[] }
--- a/src/observe/trace-event.ts
+++ b/src/observe/trace-event.ts
@@ -1,4 +1,4 @@
-import type { KnownInputs } from './known-inputs.js'
+import type { DecisionInputs } from './decision-inputs.js'
 import type { TimelineEvent } from './timeline-event.js'
 
 /** A line of a log in the course of what was asked for. */
@@ -11,7 +11,7 @@
   /** File and number of the line. */
   readonly place: string
   /** Of the lines of the id itself. */
-  readonly inputs?: KnownInputs
+  readonly inputs?: DecisionInputs
   /** Why the event stands after one with a later stamp. */
   readonly inferred?: string
 }
--- a/src/observe/touched.ts
+++ b/src/observe/trace-scope.ts
@@ -1,6 +1,6 @@
 /** What the course of an id touched. */
-export interface Touched {
+export interface TraceScope {
   readonly servers: ReadonlySet<string>
   /** By instance: the times of the course there, ms since 1970 by its clock, in order. */
-  readonly times: ReadonlyMap<string, readonly number[]>
+  readonly timesByInstance: ReadonlyMap<string, readonly number[]>
 }
--- a/src/report/build-report-page.ts
+++ b/src/report/build-report-page.ts
@@ -1,7 +1,7 @@
 import { drawBars } from '../observe/draw-bars.js'
 import { escapeHtml } from '../observe/escape-html.js'
 import { columns } from './columns.js'
-import { countTally } from './count-tally.js'
+import { countAll } from './count-all.js'
 import { formatChange } from './format-change.js'
 import { listNotes } from './list-notes.js'
 import type { Report } from './report.js'
@@ -23,7 +23,7 @@
     drawOutcomes('Online requests by caller', now.callers),
     drawShares(now.callers),
     drawBars('Times', { series: ['p50', 'p95', 'p99'], unit: 'ms', rows: now.times.map(({ name, p50, p95, p99 }) => ({ label: name, values: [p50, p95, p99] })) }),
-    drawBars('Jobs by caller', { series: ['on time', 'late', 'cancelled'], unit: '', rows: chooseLargest(now.callers, ({ batch }) => countTally(batch.jobs)).map(({ name, batch: { jobs } }) => ({ label: name, values: [jobs['on time'] ?? 0, jobs.late ?? 0, jobs.cancelled ?? 0] })) }),
+    drawBars('Jobs by caller', { series: ['on time', 'late', 'cancelled'], unit: '', rows: chooseLargest(now.callers, ({ batch }) => countAll(batch.jobs)).map(({ name, batch: { jobs } }) => ({ label: name, values: [jobs['on time'] ?? 0, jobs.late ?? 0, jobs.cancelled ?? 0] })) }),
     '<h2>Refused and failed, and what to do</h2>',
     buildTable(['cause', 'work', 'count', 'change', 'what to do'], refusals.map(({ work, type, cause, count, before, advice }) => [`${type}: ${cause}`, work, String(count), formatChange(count, before), advice])),
     ...(['teams', 'callers', 'services', 'days'] as const).map(group => `<h2>By ${group.slice(0, -1)}</h2>` + buildTable(['', ...columns.map(({ name }) => name)], now[group].map(line => [line.name, ...columns.map(({ read }) => String(read(line)))]))),
@@ -37,7 +37,7 @@
   return drawBars(chosen.length < lines.length ? `${title}, the ${MAX_BARS} largest` : title, {
     series: ['answered', 'refused', 'failed'],
     unit: '',
-    rows: chosen.map(({ name, online }) => ({ label: name, values: [online.answered, countTally(online.refused), countTally(online.failed)] }))
+    rows: chosen.map(({ name, online }) => ({ label: name, values: [online.answered, countAll(online.refused), countAll(online.failed)] }))
   })
 }
 
@@ -50,8 +50,8 @@
 }
 
 /** In their own order. */
-function chooseLargest (lines: readonly ReportLine[], weigh: (line: ReportLine) => number): readonly ReportLine[] {
-  const ranked = lines.filter(line => weigh(line) > 0).sort((a, b) => weigh(b) - weigh(a)).slice(0, MAX_BARS)
+function chooseLargest (lines: readonly ReportLine[], measure: (line: ReportLine) => number): readonly ReportLine[] {
+  const ranked = lines.filter(line => measure(line) > 0).sort((a, b) => measure(b) - measure(a)).slice(0, MAX_BARS)
   return lines.filter(line => ranked.includes(line))
 }
 
--- a/src/report/build-report.ts
+++ b/src/report/build-report.ts
@@ -1,4 +1,4 @@
-import { buildReportPart } from './build-report-part.js'
+import { buildPeriodReport } from './build-period-report.js'
 import { findAdvice } from './find-advice.js'
 import type { Report } from './report.js'
 import type { ReportDay } from './report-day.js'
@@ -14,8 +14,8 @@
 
 /** The report of a period beside the one before it. Teams and shares are those of the configuration now in force. */
 export function buildReport ({ days, before, callers }: ReportOptions): Report {
-  const parts = { now: buildReportPart(days, callers), before: buildReportPart(before, callers) }
-  return { ...parts, refusals: listRefusals(parts.now.total, parts.before.total) }
+  const periods = { now: buildPeriodReport(days, callers), before: buildPeriodReport(before, callers) }
+  return { ...periods, refusals: listRefusals(periods.now.total, periods.before.total) }
 }
 
 function listRefusals (now: ReportLine, before: ReportLine): Report['refusals'] {
--- a/src/report/columns.ts
+++ b/src/report/columns.ts
@@ -1,4 +1,4 @@
-import { countTally } from './count-tally.js'
+import { countAll } from './count-all.js'
 import type { ReportLine } from './report-line.js'
 
 /** A figure of a line, under its name in tables and CSV. */
@@ -8,15 +8,15 @@
 export const columns: readonly Column[] = [
   { name: 'asked', read: ({ online }) => online.asked },
   { name: 'answered', read: ({ online }) => online.answered },
-  { name: 'refused', read: ({ online }) => countTally(online.refused) },
-  { name: 'failed', read: ({ online }) => countTally(online.failed) },
+  { name: 'refused', read: ({ online }) => countAll(online.refused) },
+  { name: 'failed', read: ({ online }) => countAll(online.failed) },
   { name: 'tokens', read: ({ online }) => online.tokens },
   { name: 'waited ms', read: ({ online }) => online.waited },
   { name: 'busy got ms', read: ({ online }) => online.got },
   { name: 'busy entitled ms', read: ({ online }) => online.entitled },
   { name: 'items', read: ({ batch }) => batch.asked },
   { name: 'done', read: ({ batch }) => batch.answered },
-  { name: 'items failed', read: ({ batch }) => countTally(batch.failed) - (batch.failed.unknown ?? 0) },
+  { name: 'items failed', read: ({ batch }) => countAll(batch.failed) - (batch.failed.unknown ?? 0) },
   { name: 'items unknown', read: ({ batch }) => batch.failed.unknown ?? 0 },
   { name: 'batch tokens', read: ({ batch }) => batch.tokens },
   { name: 'jobs on time', read: ({ batch }) => batch.jobs['on time'] ?? 0 },
--- a/src/report/find-period.ts
+++ b/src/report/find-period.ts
@@ -27,8 +27,8 @@
     if (since > today) return Err(`${since} is still to come`)
     const span = Date.parse(until) - Date.parse(since) + DAY
     const last = until > today ? today : until
-    const move = (day: string): string => formatDay(Date.parse(day) - span)
-    return Ok({ since, until: last, before: { since: move(since), until: move(last) } })
+    const shift = (day: string): string => formatDay(Date.parse(day) - span)
+    return Ok({ since, until: last, before: { since: shift(since), until: shift(last) } })
   })
 }
 
--- a/src/report/report-part.ts
+++ b/src/report/period-report.ts
@@ -2,7 +2,7 @@
 import type { ServiceTimes } from './service-times.js'
 
 /** One period's figures, each count in one line of each grouping. */
-export interface ReportPart {
+export interface PeriodReport {
   /** First and last day, YYYY-MM-DD, UTC. */
   readonly since: string
   readonly until: string
