--- a/src/observe/bounded-stream.ts
+++ b/src/observe/bounded-stream.ts
@@ -1,16 +1,16 @@
 import { Writable } from 'node:stream'
 import { Socket } from 'node:net'
 
-/** Bytes that may wait for a slow reader before lines are left out. */
+/** Lines are dropped while more than this many bytes wait to be written. */
 const MAX_BUFFERED_BYTES = 262_144
 
 /**
- * Writes lines to a descriptor without ever waiting for its reader. Node writes to a pipe in the loop's own turn, so that
- * a reader that stops reading stops the daemon; its symptom is a process that answers nobody. Here the pipe is written as
- * a socket is, and lines are left out, and counted, while too much waits.
+ * Writes lines to a file descriptor without blocking on its reader. Node writes to pipes synchronously, so a stalled reader
+ * would block the event loop of the daemon. The pipe is opened as a socket instead; lines are dropped and counted while its
+ * buffer is full.
  */
 export class BoundedStream extends Writable {
-  /** Lines left out so far. */
+  /** Number of lines dropped since the owner last reset it. */
   dropped = 0
   private readonly target: Writable
 
@@ -27,7 +27,7 @@
   }
 }
 
-/** A file can't be written as a socket; it never blocks for a reader either. */
+/** Returns undefined for a regular file: it can't be opened as a socket, and has no reader to block on. */
 function openTarget (descriptor: number): Writable | undefined {
   try {
     return new Socket({ fd: descriptor, readable: false, writable: true })
--- a/src/observe/build-timeline-page.ts
+++ b/src/observe/build-timeline-page.ts
@@ -11,14 +11,15 @@
 const STYLE = 'body{font:13px system-ui,sans-serif;margin:1.5em;color:#222}text{font:12px system-ui,sans-serif}line{stroke:#ccc}.time{fill:#777}'
 
 interface TimelinePageOptions<E> {
-  /** Colour of an event's dot. */
+  /** Returns the colour of an event's dot. */
   readonly getColour?: (event: E) => string
-  /** HTML that follows the title, and that follows the time line. */
+  /** HTML between the title and the timeline. */
   readonly before?: string
+  /** HTML after the timeline. */
   readonly after?: string
 }
 
-/** A merged time line as one HTML page without scripts or outside files: a lane an instance, time running down. */
+/** Builds a self-contained HTML page without scripts from a merged timeline: one lane per instance, time runs downwards. */
 export function buildTimelinePage<E extends TimelineEvent> (title: string, events: readonly E[], { getColour = () => DOT_COLOUR, before = '', after = '' }: TimelinePageOptions<E> = {}): string {
   const lanes = [...new Set(events.map(({ instance }) => instance))].sort()
   const width = TIME_WIDTH + lanes.length * LANE_WIDTH
--- a/src/observe/build-trace-event.ts
+++ b/src/observe/build-trace-event.ts
@@ -4,12 +4,12 @@
 import { showInputs } from './show-inputs.js'
 import type { TraceEvent } from './trace-event.js'
 
-/** A picked line as an event of a time line; its detail has all that the line says. */
+/** Builds a timeline event from a picked line. Its detail has the remaining log fields, the inputs and why it is out of timestamp order. */
 export function buildTraceEvent ({ line, kind, inputs }: PickedLine, inferred: string | undefined): TraceEvent {
   const { request, server } = line.fields
   const job = findLineJob(line)
   const shownInputs = inputs === undefined ? '' : showInputs(inputs)
-  const detail = [formatFields(line), shownInputs === '' ? '' : `[by ${shownInputs}]`, inferred === undefined ? '' : `(${inferred})`].filter(Boolean).join(' ')
+  const detail = [formatFields(line), shownInputs === '' ? '' : `[based on ${shownInputs}]`, inferred === undefined ? '' : `(${inferred})`].filter(Boolean).join(' ')
   return {
     time: line.time,
     instance: line.instance,
--- a/src/observe/create-bounded-log.ts
+++ b/src/observe/create-bounded-log.ts
@@ -4,11 +4,12 @@
 import type { LogSink } from './log-sink.js'
 
 const STDOUT = 1
+/** Ms between two summaries of dropped lines. */
 const SUMMARY_PERIOD = 1_000
 
 /**
- * A log on standard output through winston, one JSON object a line, bounded and never waiting for its reader. Lines at
- * the levels `error` and `warn` aren't left out for their number; what is left out is summed once a second.
+ * Creates a log on standard output, one JSON object per line, which is rate-limited and never blocks on its reader. Lines of
+ * the levels `error` and `warn` are not rate-limited. The number of dropped lines is logged once a second.
  */
 export function createBoundedLog ({ instance, level = 'info' }: { readonly instance: string, readonly level?: string }): LogSink {
   const stream = new BoundedStream(STDOUT, process.stdout)
@@ -21,7 +22,7 @@
   })
   const summarize = (): void => {
     const dropped = limiter.takeDropped()
-    if (dropped.size > 0 || stream.dropped > 0) logger.log('warn', 'left lines out', { part: 'log', left: Object.fromEntries(dropped), unread: stream.dropped })
+    if (dropped.size > 0 || stream.dropped > 0) logger.log('warn', 'dropped log lines', { part: 'log', left: Object.fromEntries(dropped), unread: stream.dropped })
     stream.dropped = 0
   }
   setInterval(summarize, SUMMARY_PERIOD).unref()
--- a/src/observe/create-log.ts
+++ b/src/observe/create-log.ts
@@ -1,7 +1,7 @@
 import winston from 'winston'
 import type { LogSink } from './log-sink.js'
 
-/** A log on standard error through winston: `part: sentence key=value`, or one JSON object a line. */
+/** Creates a log on standard error, as text (`part: message key=value`) or one JSON object per line. */
 export function createLog ({ level = 'info', format = 'text', instance = '' }: { readonly level?: string, readonly format?: 'text' | 'json', readonly instance?: string } = {}): LogSink {
   const text = winston.format.printf(({ level, message, part, timestamp, ...fields }) => {
     const rest = Object.entries(fields).map(([key, value]) => ` ${key}=${typeof value === 'string' ? value : JSON.stringify(value)}`).join('')
--- a/src/observe/decision-inputs.ts
+++ b/src/observe/decision-inputs.ts
@@ -1,9 +1,9 @@
-/** What a daemon went by when it wrote a line, as far as its log tells; `elsewhere` is what others knew better. Ages are in ms. */
+/** State that a daemon used when it wrote a line, as far as its log shows; `elsewhere` is newer state at other daemons. Ages in ms. */
 export interface DecisionInputs {
-  /** The configuration in force there, and for how long it was. */
+  /** The configuration in force at the daemon, and since how long. */
   readonly configuration?: { readonly version: number, readonly age: number, readonly elsewhere?: { readonly version: number, readonly age: number } }
-  /** The servers of the line as last heard. */
+  /** Last known states of the servers that the line names. */
   readonly servers: ReadonlyArray<{ readonly server: string, readonly state: string, readonly age: number, readonly elsewhere?: { readonly state: string, readonly age: number } }>
-  /** For how long the store hadn't answered. */
+  /** How long the store had been unavailable, ms. */
   readonly storeAway?: number
 }
--- a/src/observe/draw-bars.ts
+++ b/src/observe/draw-bars.ts
@@ -1,5 +1,6 @@
 import { escapeHtml } from './escape-html.js'
 
+/** All dimensions in px. */
 const BARS_WIDTH = 450
 const VALUE_WIDTH = 90
 const LABEL_WIDTH = 190
@@ -7,12 +8,12 @@
 const GAP = 8
 const COLOURS = ['#36c', '#6ab', '#c73', '#a36'] as const
 
-/** Horizontal bars as SVG: a group a row, a bar a series, each with its value. */
+/** Draws a horizontal bar chart as SVG: one group per row, with a labelled bar per series. */
 export function drawBars (title: string, { rows, series, unit, labelWidth = LABEL_WIDTH }: {
   readonly rows: readonly { readonly label: string, readonly values: readonly number[] }[]
   readonly series: readonly string[]
   readonly unit: string
-  /** Room for the rows' labels, px. */
+  /** Width reserved for the labels of the rows, px. */
   readonly labelWidth?: number
 }): string {
   const highest = Math.max(1e-9, ...rows.flatMap(({ values }) => values))
--- a/src/observe/escape-html.ts
+++ b/src/observe/escape-html.ts
@@ -1,6 +1,6 @@
 const ESCAPES: Readonly<Record<string, string>> = { '&': '&amp;', '<': '&lt;', '>': '&gt;', '"': '&quot;', "'": '&#39;' }
 
-/** Text made safe to stand in an HTML page, also within an attribute. */
+/** Escapes text for HTML content and attribute values. */
 export function escapeHtml (text: string): string {
   return text.replace(/[&<>"']/g, character => ESCAPES[character]!)
 }
--- a/src/observe/filter-related-events.ts
+++ b/src/observe/filter-related-events.ts
@@ -1,11 +1,11 @@
 import type { TimelineEvent } from './timeline-event.js'
 
-/** How long before its first event what happened to servers and daemons may be the cause, ms. */
+/** Server and daemon events up to this long before the first event may be its cause, ms. */
 const LOOKBACK = 5_000
 
 /**
- * The events of one request or job, and what happened to servers and daemons meanwhile. Why a request was refused or a
- * job stood still is often told only by these: a daemon that was killed records nothing itself.
+ * Filters the events of one request or job, and the server and daemon events around them. A killed daemon records nothing
+ * itself, so only the latter show why a request was refused or a job made no progress.
  */
 export function filterRelatedEvents (events: readonly TimelineEvent[]): readonly TimelineEvent[] {
   const own = events.filter(isSubjectEvent)
--- a/src/observe/find-line-job.ts
+++ b/src/observe/find-line-job.ts
@@ -1,6 +1,6 @@
 import type { LogLine } from './log-line.js'
 
-/** The job that a line is about: the answer to its submission names it as the request that it is. */
+/** Returns the id of the job that a line is about. Lines of the part `jobs` may have it in `request`, as for its submission. */
 export function findLineJob ({ part, fields: { job, request } }: LogLine): string | undefined {
   const id = job ?? (part === 'jobs' ? request : undefined)
   return typeof id === 'string' ? id : undefined
--- a/src/observe/find-line-kind.ts
+++ b/src/observe/find-line-kind.ts
@@ -7,13 +7,14 @@
 import type { TraceEvent } from './trace-event.js'
 import type { TraceSubject } from './trace-subject.js'
 
-/** How long before a line of the course what a daemon learnt may bear on it, and how long after, ms. */
+/** State changes of a daemon are included from this long before a line of the trace, ms. */
 const STATE_CHANGE_BEFORE = 5_000
+/** State changes of a daemon are included until this long after a line of the trace, ms. */
 const STATE_CHANGE_AFTER = 1_000
-/** How far from a line of the course a failure, or another's request, tells of the same moment, ms. */
+/** Failures and other requests are included up to this long before or after a line of the trace, ms. */
 const MAX_DISTANCE = 1_000
 
-/** What a line is to the course of a subject; `undefined` where it is nothing to it. */
+/** Finds how a line relates to the traced subject; undefined if it is unrelated. `routine` lines are counted, not shown. */
 export function findLineKind (line: LogLine, subject: TraceSubject, { servers, timesByInstance }: TraceScope): TraceEvent['kind'] | 'routine' | undefined {
   const isRoutine = logPatterns.isRoutine(line)
   if (isSubjectLine(line, subject)) return subject.type === 'server' && isRoutine ? 'routine' : 'own'
--- a/src/observe/find-subject.ts
+++ b/src/observe/find-subject.ts
@@ -4,7 +4,8 @@
 import type { TraceSubject } from './trace-subject.js'
 
 /**
- * What an id names, by the fields in which the lines have it; `undefined` where no line has it in one.
+ * Finds whether an id names a request, an item, a job or a server, by the log fields that contain it. Returns undefined if
+ * none does.
  *
  * @example
  * findSubject('cd1a93e9cb19cccf', lines) // { type: 'item', id: 'cd1a93e9cb19cccf', jobs: new Set(['d95e23c61a4bcd29']) }
--- a/src/observe/find-trace-scope.ts
+++ b/src/observe/find-trace-scope.ts
@@ -6,13 +6,13 @@
 
 interface FindTraceScopeOptions {
   readonly subject: TraceSubject
-  /** Instances, by the names under which lines speak of them. */
+  /** Instances by the names under which log lines refer to them. */
   readonly instances: ReadonlyMap<string, string>
 }
 
 /**
- * The servers and instances that the lines of a course name, and when. A daemon that ended may have written nothing of it: the lines
- * of the others that name it say when to look at its log. A server's usual requests are no moments to look at.
+ * Finds the servers and instances that the lines of a trace involve, and when. An instance counts as involved also where
+ * others name it, since a daemon that ended may have logged nothing itself. Routine requests of a traced server give no times.
  */
 export function findTraceScope (lines: readonly LogLine[], { subject, instances }: FindTraceScopeOptions): TraceScope {
   const timesByInstance = new Map<string, number[]>()
@@ -28,7 +28,7 @@
   return { servers: new Set(subject.type === 'server' ? [subject.id] : lines.flatMap(listLineServers)), timesByInstance }
 }
 
-/** The instance that wrote the line, and those that it names. */
+/** Lists the instance that wrote the line and those that it names. */
 function listInstances ({ instance, fields }: LogLine, instances: ReadonlyMap<string, string>): ReadonlySet<string> {
   const named = Object.values(fields).flat().flatMap(value => typeof value === 'string' ? instances.get(value) ?? [] : [])
   return new Set([instance, ...named])
--- a/src/observe/fleet-history.ts
+++ b/src/observe/fleet-history.ts
@@ -2,13 +2,13 @@
 
 interface Change { readonly state: string, readonly time: number }
 
-/** What the logs of all daemons tell of configurations and servers, to be compared with what one of them knew. Ages are in ms. */
+/** Holds the configuration and server state changes in the logs of all daemons, for comparison with the state of one. Ages in ms. */
 export class FleetHistory {
-  /** By version: when it was first in force anywhere. */
+  /** By version: when a daemon first logged it, ms since 1970. */
   private readonly activationTimes = new Map<number, number>()
   private readonly serverChanges = new Map<string, Change[]>()
 
-  /** Takes a line; the lines may come in any order. */
+  /** Records a line. Lines may come in any order. */
   observe ({ part, time, fields: { version, server, state } }: LogLine): void {
     if ((part === 'fleet' || part === 'configuration') && typeof version === 'number') this.activationTimes.set(version, Math.min(time, this.activationTimes.get(version) ?? Infinity))
     if (typeof server !== 'string' || typeof state !== 'string') return
@@ -17,13 +17,13 @@
     else known.push({ state, time })
   }
 
-  /** The newest configuration above `version` that was in force somewhere at `time`. */
+  /** Finds the newest configuration above `version` that any daemon had logged before `time`. */
   findNewerConfiguration (version: number, time: number): { readonly version: number, readonly age: number } | undefined {
     const newer = [...this.activationTimes].filter(([other, since]) => other > version && since < time).sort(([a], [b]) => b - a)[0]
     return newer === undefined ? undefined : { version: newer[0], age: time - newer[1] }
   }
 
-  /** The newest state of the server, heard by any daemon after `since` and before `time`, where it isn't `state`. */
+  /** Finds the newest state of the server logged by any daemon between `since` and `time`; undefined if it equals `state`. */
   findLaterState (server: string, { state, since, time }: { readonly state: string, readonly since: number, readonly time: number }): { readonly state: string, readonly age: number } | undefined {
     const candidates = (this.serverChanges.get(server) ?? []).filter(change => change.time > since && change.time < time)
     const newest = candidates.reduce<Change | undefined>((last, change) => last === undefined || change.time > last.time ? change : last, undefined)
--- a/src/observe/has-time-between.ts
+++ b/src/observe/has-time-between.ts
@@ -1,4 +1,4 @@
-/** Whether one of the times, which are in order, lies from `from` to `to`. */
+/** Checks by binary search whether any of the sorted times lies between `from` and `to`, both inclusive. */
 export function hasTimeBetween (times: readonly number[], from: number, to: number): boolean {
   let [low, high] = [0, times.length]
   while (low < high) {
--- a/src/observe/instance-state.ts
+++ b/src/observe/instance-state.ts
@@ -6,7 +6,7 @@
 
 interface Timed<T> { readonly value: T, readonly since: number }
 
-/** What one daemon knew at each line of its log, by the lines before it. */
+/** Reconstructs the configuration and server states that one daemon held, from its log up to the current line. */
 export class InstanceState {
   private configuration: Timed<number> | undefined
   private storeDownSince: number | undefined
@@ -14,7 +14,7 @@
 
   constructor (private readonly history: FleetHistory) {}
 
-  /** Takes the next line of the daemon. */
+  /** Records the next line of the daemon. */
   observe (line: LogLine): void {
     if (logPatterns.isStart(line)) this.reset()
     const { part, time, fields: { version, server, state, error, revision } } = line
@@ -25,7 +25,7 @@
     else if (revision !== undefined) this.storeDownSince = undefined
   }
 
-  /** What the daemon went by when it wrote the line. */
+  /** Returns the state that the daemon used when it wrote the line; call before `observe` of that line. */
   getInputs (line: LogLine): DecisionInputs {
     const { configuration, storeDownSince } = this
     return {
--- a/src/observe/is-subject-line.ts
+++ b/src/observe/is-subject-line.ts
@@ -4,7 +4,7 @@
 import type { LogLine } from './log-line.js'
 import type { TraceSubject } from './trace-subject.js'
 
-/** Whether a line belongs to the course of a subject: an item's has the lines of its job that name no other item. */
+/** Checks whether a line belongs to the traced subject. An item includes the lines of its job that name no other item. */
 export function isSubjectLine (line: LogLine, subject: TraceSubject): boolean {
   const { request } = line.fields
   const job = findLineJob(line)
--- a/src/observe/line-picker.ts
+++ b/src/observe/line-picker.ts
@@ -9,7 +9,7 @@
 import type { TraceScope } from './trace-scope.js'
 import type { TraceSubject } from './trace-subject.js'
 
-/** Lines of others with one sentence and reason that are shown of a second of an instance; the rest are counted. */
+/** Lines of other requests with the same message and server are shown up to this often per instance and second; the rest are counted. */
 const MAX_SHOWN_PER_SECOND = 3
 const SECOND = 1_000
 
@@ -19,7 +19,7 @@
   readonly history: FleetHistory
 }
 
-/** Picks the lines that belong to a course from all lines, in the order in which they were written. */
+/** Picks the lines of a trace from all log lines, which must come in the order in which each instance wrote them. */
 export class LinePicker {
   readonly picked: PickedLine[] = []
   private readonly instanceStates = new Map<string, InstanceState>()
@@ -28,7 +28,7 @@
 
   constructor (private readonly options: LinePickerOptions) {}
 
-  /** Takes the next line. */
+  /** Processes the next line. */
   observe (line: LogLine): void {
     const { subject, scope, history } = this.options
     if (!scope.timesByInstance.has(line.instance)) return
@@ -51,6 +51,7 @@
     state.observe(line)
   }
 
+  /** Lists the lines that were counted instead of picked, the most frequent first. */
   listOmitted (): readonly OmittedLines[] {
     return [...this.omitted.values()].sort((a, b) => b.count - a.count)
   }
@@ -72,7 +73,7 @@
   }
 }
 
-/** What happened, and why where the line says so. */
+/** Formats the part and message of a line, with its reason if it has one. */
 function formatMessage ({ part, message, fields: { cause, why } }: LogLine): string {
   const reason = cause ?? why
   return `${part}: ${message}${typeof reason === 'string' ? ` (${reason})` : ''}`
--- a/src/observe/list-clock-skews.ts
+++ b/src/observe/list-clock-skews.ts
@@ -1,7 +1,7 @@
 import type { OrderConstraint } from './order-constraint.js'
 import type { Trace } from './trace.js'
 
-/** The clocks that must differ, because a line that must have come first has the later stamp. */
+/** Lists pairs of instances whose clocks must differ, as a line that must come first has the later timestamp. */
 export function listClockSkews (constraints: readonly OrderConstraint[]): Trace['clocks'] {
   const skews = new Map<string, Trace['clocks'][number]>()
   for (const { earlier, later } of constraints) {
--- a/src/observe/list-log-files.ts
+++ b/src/observe/list-log-files.ts
@@ -2,7 +2,7 @@
 import { join } from 'node:path'
 import { Err, Ok, type Result } from 'ts-results'
 
-/** The files below a folder, by name within it; an error where there is no such folder. */
+/** Lists the files below a folder, relative to it and sorted. Returns the error message if the folder can't be read. */
 export function listLogFiles (folder: string): Result<readonly string[], string> {
   try {
     const names = readdirSync(folder, { recursive: true, encoding: 'utf8' })
@@ -12,7 +12,7 @@
   }
 }
 
-/** A link that leads nowhere counts, so that reading it says so. */
+/** A dangling link counts as a file, so that it is reported as unreadable later. */
 function isFile (path: string): boolean {
   return statSync(path, { throwIfNoEntry: false })?.isFile() ?? true
 }
--- a/src/observe/list-longest-gaps.ts
+++ b/src/observe/list-longest-gaps.ts
@@ -2,7 +2,7 @@
 
 interface Gap { readonly label: string, readonly time: number }
 
-/** The longest times, ms, between two lines of a course at one instance, whose clock is the same; the longest first. */
+/** Lists the longest gaps between consecutive lines of a trace at one instance, which share a clock. In ms, longest first. */
 export function listLongestGaps (events: readonly TraceEvent[], { most = 12 }: { readonly most?: number } = {}): readonly Gap[] {
   const lastByInstance = new Map<string, TraceEvent>()
   const gaps: Gap[] = []
--- a/src/observe/list-order-constraints.ts
+++ b/src/observe/list-order-constraints.ts
@@ -5,7 +5,7 @@
 
 const { isAccepted, isTakeOver, isHandOver } = logPatterns
 
-/** Which lines of a job must have come before which of another instance. `instances`: by the names under which lines speak of them. */
+/** Lists which lines of a job must precede lines of another instance. `instances`: by the names under which log lines refer to them. */
 export function listOrderConstraints (lines: readonly LogLine[], instances: ReadonlyMap<string, string>): readonly OrderConstraint[] {
   const ownerLines = lines.filter(line => isAccepted(line) || isTakeOver(line))
   const listOtherOwners = (line: LogLine): readonly LogLine[] => ownerLines.filter(other => other.instance !== line.instance && findLineJob(other) === findLineJob(line))
@@ -13,6 +13,6 @@
     ...lines.filter(isTakeOver).flatMap(later => listOtherOwners(later).filter(isAccepted)
       .map(earlier => ({ earlier, later, reason: 'a job is confirmed before another daemon takes it over' }))),
     ...lines.filter(isHandOver).flatMap(later => listOtherOwners(later).filter(({ instance }) => instance === instances.get(String(later.fields.to))).slice(0, 1)
-      .map(earlier => ({ earlier, later, reason: 'a job has its other owner before a daemon gives it to that one' })))
+      .map(earlier => ({ earlier, later, reason: 'a daemon hands a job over only after the other owner has it' })))
   ]
 }
--- a/src/observe/log-line.ts
+++ b/src/observe/log-line.ts
@@ -1,14 +1,14 @@
-/** One line of a daemon's log, and where it stands. */
+/** One parsed line of a daemon's log, with its position. */
 export interface LogLine {
   readonly file: string
-  /** Of the line within its file, from 1. */
+  /** Line number within the file, from 1. */
   readonly number: number
-  /** Ms since 1970 by the clock of its instance. */
+  /** Ms since 1970 by the clock of the instance. */
   readonly time: number
   readonly instance: string
   readonly level: string
   readonly part: string
   readonly message: string
-  /** All else that the line says. */
+  /** All remaining fields of the line. */
   readonly fields: Readonly<Record<string, unknown>>
 }
--- a/src/observe/log-patterns.ts
+++ b/src/observe/log-patterns.ts
@@ -1,12 +1,15 @@
 import type { LogLine } from './log-line.js'
 
-/** Sentences that a reader of logs has to tell apart; the words here are the only ones it depends on. */
+/** Recognises the log lines that a trace treats specially. No other code depends on the text of log messages. */
 export const logPatterns = {
-  /** A process begins: it knows nothing yet. */
+  /** A process starts, and holds no state yet. */
   isStart: ({ part, message }: LogLine) => part === 'kernel' && message === 'starts',
-  /** A request or item went its usual way. */
+  /** A request or item was handled normally. */
   isRoutine: ({ message }: LogLine) => /^(answered|started|stopped) /.test(message),
+  /** A job was accepted by its first owner. */
   isAccepted: ({ part, fields }: LogLine) => part === 'jobs' && fields.how === 'accepted',
+  /** A daemon took over the job of another owner. */
   isTakeOver: ({ part, message }: LogLine) => part === 'jobs' && /^took .*\bover$/.test(message),
+  /** A daemon handed a job to the other daemon that owned it too. */
   isHandOver: ({ part, message }: LogLine) => part === 'jobs' && /^gave .*\bowner$/.test(message)
 } as const
--- a/src/observe/log-sink.ts
+++ b/src/observe/log-sink.ts
@@ -1,4 +1,4 @@
-/** Where log lines go. `part` is the fixed prefix; the sentence is short and ends without a full stop. */
+/** Receives log lines. `part` names the component that logs; `message` is short and has no final full stop. */
 export interface LogSink {
   write (level: 'error' | 'warn' | 'info' | 'debug', part: string, message: string, fields?: Readonly<Record<string, unknown>>): void
 }
--- a/src/observe/loop-delay.ts
+++ b/src/observe/loop-delay.ts
@@ -5,16 +5,16 @@
 import { tokens } from '../kernel/tokens.js'
 import { Metrics } from './metrics.js'
 
-/** As the pause watch's, so that both share a wake-up of the process, ms. */
+/** Same as the period of the pause watch, so that both share a wake-up of the process, ms. */
 const PERIOD = 250
-/** Periodic tasks run at multiples of their period, or up to this before them, ms. */
+/** Periodic tasks run at multiples of their period, at most this much early, ms. */
 const TOLERANCE = 1
-/** For how long the longest delay is shown, ms: at least one time, at most two, so that a scraper that comes in between sees it. */
+/** The longest delay is reported for one to two windows, so that a scrape within each window sees it, ms. */
 const WINDOW = 15_000
 
 /**
- * How late the event loop runs a periodic task: while it is busy, requests and answers wait as long. `loop_delay_ms` has all delays
- * since the start, `loop_delay_longest_ms` the longest of the last 15 to 30 s.
+ * Measures how late the event loop runs a periodic task, which is how long requests and answers wait while it is busy.
+ * `loop_delay_ms` records all delays since the start, `loop_delay_longest_ms` the longest of the last 15 to 30 s.
  */
 @scoped(Lifecycle.ContainerScoped)
 export class LoopDelay implements Part {
--- a/src/observe/merge-timelines.ts
+++ b/src/observe/merge-timelines.ts
@@ -1,8 +1,8 @@
 import type { TimelineEvent } from './timeline-event.js'
 
 /**
- * The events of several daemons in one causal order: by hybrid logical time, so that no event stands before one
- * that caused it; events of unrelated processes at the same time are ordered by instance.
+ * Merges the events of several daemons in causal order. They are sorted by hybrid logical time, so that an event never
+ * precedes its cause; events with the same time are sorted by instance.
  *
  * @example
  * mergeTimelines([eventsOfEntry0, eventsOfEntry1])
--- a/src/observe/metrics.ts
+++ b/src/observe/metrics.ts
@@ -7,25 +7,25 @@
 
 type Labels = Readonly<Record<string, string>>
 
-/** Counters, gauges and latency histograms of this daemon, written out in the Prometheus text format. */
+/** Holds the counters, gauges and latency histograms of this daemon, and writes them in the Prometheus text format. */
 @scoped(Lifecycle.ContainerScoped)
 export class Metrics {
   private readonly counters = new Map<string, number>()
   private readonly gauges = new Map<string, () => number>()
   private readonly histograms = new Map<string, Histogram>()
 
-  /** Adds to a counter; its name ends in `_total`. */
+  /** Adds to a counter, whose name must end in `_total`. */
   count (name: string, labels: Labels = {}, by = 1): void {
     const key = name + formatLabels(labels)
     this.counters.set(key, (this.counters.get(key) ?? 0) + by)
   }
 
-  /** Registers a gauge that is read when the metrics are. */
+  /** Registers a gauge, whose value is read whenever the metrics are written. */
   gauge (name: string, read: () => number, labels: Labels = {}): void {
     this.gauges.set(name + formatLabels(labels), read)
   }
 
-  /** Records a time in ms; its name ends in `_ms`. */
+  /** Records a time in ms, clamped to the range from 0 to one hour. The name must end in `_ms`. */
   observe (name: string, time: number, labels: Labels = {}): void {
     const key = name + formatLabels(labels)
     const histogram = this.histograms.get(key) ?? build({ lowestDiscernibleValue: 1, highestTrackableValue: HIGHEST_VALUE * MICROS_PER_MS, numberOfSignificantValueDigits: 2 })
@@ -33,12 +33,12 @@
     histogram.recordValue(Math.min(Math.max(0, Math.round(time * MICROS_PER_MS)), HIGHEST_VALUE * MICROS_PER_MS))
   }
 
-  /** A quantile of what was observed, in ms; 0 where nothing was. */
+  /** Returns a percentile of the recorded times, in ms; 0 if there are none. */
   quantile (name: string, percentile: number, labels: Labels = {}): number {
     return (this.histograms.get(name + formatLabels(labels))?.getValueAtPercentile(percentile) ?? 0) / MICROS_PER_MS
   }
 
-  /** Everything, in the Prometheus text format. */
+  /** Returns all metrics in the Prometheus text format. */
   write (): string {
     const lines = [...this.counters].map(([key, value]) => `${key} ${value}`)
     for (const [key, read] of this.gauges) lines.push(`${key} ${read()}`)
--- a/src/observe/observe-routes.ts
+++ b/src/observe/observe-routes.ts
@@ -10,7 +10,7 @@
 
 const MICROS_PER_SECOND = 1_000_000
 
-/** What a daemon shows of itself: its metrics and its part of the time line. */
+/** Serves the metrics of this daemon, and its events for the timeline. */
 @scoped(Lifecycle.ContainerScoped)
 export class ObserveRoutes implements Part {
   readonly extensions = ([
--- a/src/observe/omitted-lines.ts
+++ b/src/observe/omitted-lines.ts
@@ -1,8 +1,9 @@
-/** Lines that are counted and not shown: usual ones of others' requests, and repetitions. */
+/** Lines that a trace counts instead of showing: routine lines and repetitions. */
 export interface OmittedLines {
   readonly instance: string
+  /** The log message with its part, and its reason if it has one. */
   readonly what: string
-  /** Of the servers of the course. */
+  /** The server of the trace that the lines name. */
   readonly server?: string
   readonly count: number
 }
--- a/src/observe/order-lines.ts
+++ b/src/observe/order-lines.ts
@@ -3,18 +3,18 @@
 
 interface OrderedLine {
   readonly line: LogLine
-  /** Why it stands after a line with a later stamp. */
+  /** Why it is placed after a line with a later timestamp. */
   readonly inferred?: string
 }
 
 interface Stream { readonly lines: readonly LogLine[], next: number }
 
 /**
- * Orders lines of several processes by what must have come first, else by their stamps. The lines of a process keep the
- * order in which it wrote them, also where its clock was set back; the clocks of different instances may differ.
+ * Merges the lines of several processes by timestamp, subject to the constraints. Lines of one process keep the order in
+ * which it wrote them, even if its clock was set back. The clocks of different instances may differ.
  *
  * @example
- * orderLines(lines, listOrderRules(lines, instances))
+ * orderLines(lines, listOrderConstraints(lines, instances))
  */
 export function orderLines (lines: readonly LogLine[], constraints: readonly OrderConstraint[]): readonly OrderedLine[] {
   const streams = splitStreams(lines)
@@ -25,7 +25,7 @@
   for (let i = 0; i < lines.length; i++) {
     const unfinished = streams.filter(({ lines, next }) => next < lines.length)
     const ready = unfinished.filter(stream => (constraintsByLine.get(getNext(stream)) ?? []).every(({ earlier }) => done.has(earlier)))
-    // Rules that contradict the order of the processes leave none free.
+    // No stream is ready if the constraints contradict the order within the processes; then the earliest line is taken regardless.
     const stream = findEarliest(ready.length > 0 ? ready : unfinished)
     const line = getNext(stream)
     const inferred = line.time < latest ? showReason(stream, constraintsByLine.get(line) ?? [], latest) : undefined
@@ -37,18 +37,18 @@
   return ordered
 }
 
-/** By line: the rules that say what must stand before it. */
-function indexConstraints (rules: readonly OrderConstraint[]): ReadonlyMap<LogLine, readonly OrderConstraint[]> {
+/** Indexes the constraints by the line that must come later. */
+function indexConstraints (constraints: readonly OrderConstraint[]): ReadonlyMap<LogLine, readonly OrderConstraint[]> {
   const index = new Map<LogLine, OrderConstraint[]>()
-  for (const rule of rules) {
-    const known = index.get(rule.later)
-    if (known === undefined) index.set(rule.later, [rule])
-    else known.push(rule)
+  for (const constraint of constraints) {
+    const known = index.get(constraint.later)
+    if (known === undefined) index.set(constraint.later, [constraint])
+    else known.push(constraint)
   }
   return index
 }
 
-/** A process's lines in one file, in the order in which they stand there. */
+/** Groups the lines by file and instance, each group in file order. */
 function splitStreams (lines: readonly LogLine[]): readonly Stream[] {
   const streams = new Map<string, LogLine[]>()
   for (const line of lines) {
@@ -72,14 +72,14 @@
   return a.time - b.time || (a.instance < b.instance ? -1 : a.instance > b.instance ? 1 : 0)
 }
 
-function showReason (stream: Stream, rules: readonly OrderConstraint[], latest: number): string {
+function showReason (stream: Stream, constraints: readonly OrderConstraint[], latest: number): string {
   const line = getNext(stream)
-  const rule = rules.find(({ earlier }) => earlier.time > line.time)
-  const before = stream.lines[stream.next - 1]
-  const why = rule !== undefined
-    ? rule.reason
-    : before !== undefined && before.time > line.time
-      ? 'its process wrote it after the line before, and its clock was set back'
-      : 'its process wrote it after a line that must have come later'
-  return `stamped ${latest - line.time} ms before a line above: ${why}`
+  const constraint = constraints.find(({ earlier }) => earlier.time > line.time)
+  const previous = stream.lines[stream.next - 1]
+  const reason = constraint !== undefined
+    ? constraint.reason
+    : previous !== undefined && previous.time > line.time
+      ? 'the same process wrote it after the previous line, and its clock was set back'
+      : 'the same process wrote it after a line that was placed later than its timestamp'
+  return `timestamp ${latest - line.time} ms before that of a line above: ${reason}`
 }
--- a/src/observe/parse-log-line.ts
+++ b/src/observe/parse-log-line.ts
@@ -1,8 +1,8 @@
 import type { LogLine } from './log-line.js'
 
 /**
- * Parses a line of a log. What a collector wrote before the JSON object is passed over; `undefined` where there is none, or
- * where it lacks a field that each line of a log has.
+ * Parses a log line. A prefix written by a log collector is skipped. Returns undefined if there is no JSON object, or if it
+ * lacks a field that every log line has.
  */
 export function parseLogLine (text: string, { file, number }: Pick<LogLine, 'file' | 'number'>): LogLine | undefined {
   const value = parseObject(text.slice(Math.max(0, text.indexOf('{'))))
--- a/src/observe/read-file-lines.ts
+++ b/src/observe/read-file-lines.ts
@@ -1,9 +1,9 @@
 import { createReadStream } from 'node:fs'
 
-/** Characters of a line after which it is cut: a file without line ends isn't a log. */
+/** Longer lines are split, in characters. Bounds the memory for a file without line breaks, which can't be a log. */
 const MAX_LINE_LENGTH = 1_048_576
 
-/** The lines of a file, one after the other, so that a file may be larger than the memory. */
+/** Reads a file line by line, so that it may be larger than the memory. */
 export async function * readFileLines (path: string): AsyncGenerator<string> {
   let rest = ''
   for await (const chunk of createReadStream(path, 'utf8')) {
--- a/src/observe/read-logs.ts
+++ b/src/observe/read-logs.ts
@@ -5,15 +5,15 @@
 
 interface ReadLogsOptions {
   readonly folder: string
-  /** Names within the folder. */
+  /** Paths relative to the folder. */
   readonly files: readonly string[]
-  /** Hears of each line that is none of a log. */
+  /** Called for each line that is not a log line. */
   readonly onBroken?: (line: { readonly file: string, readonly number: number, readonly text: string }) => void
-  /** Hears of each file that can't be read to its end. */
+  /** Called for each file that can't be read to its end. */
   readonly onUnreadable?: (file: string, detail: string) => void
 }
 
-/** All lines of logs, file after file. What can't be read is told to the listeners, and reading goes on. */
+/** Reads all log lines, file by file. Lines and files that can't be read are passed to the callbacks and skipped. */
 export async function * readLogs ({ folder, files, onBroken = () => {}, onUnreadable = () => {} }: ReadLogsOptions): AsyncGenerator<LogLine> {
   for (const file of files) {
     let number = 0
--- a/src/observe/read-problem-collector.ts
+++ b/src/observe/read-problem-collector.ts
@@ -2,11 +2,11 @@
 
 interface BrokenLine { readonly file: string, readonly number: number, readonly text: string }
 
-/** Gathers what could not be read of a folder of logs. */
+/** Collects the files and lines of a folder of logs that could not be read. */
 export class ReadProblemCollector {
   private readonly broken = new Map<string, { readonly first: number, count: number, readonly withId: Array<Pick<BrokenLine, 'number' | 'text'>> }>()
   private readonly unreadable = new Map<string, string>()
-  /** Finds the id where it isn't part of a longer word. */
+  /** Matches the id as a whole word. */
   private readonly idPattern: RegExp
 
   constructor (id: string) {
@@ -24,7 +24,7 @@
     this.unreadable.set(file, detail)
   }
 
-  /** `logs`: the files that have lines of a log. */
+  /** Lists the problems found. `logs`: the files with at least one log line. */
   list (logs: ReadonlySet<string>): readonly ReadProblem[] {
     return [
       ...[...this.unreadable].map(([file, detail]) => ({ type: 'unreadable', file, detail } as const)),
--- a/src/observe/read-problem.ts
+++ b/src/observe/read-problem.ts
@@ -1,8 +1,8 @@
-/** What of a file could not be read as lines of a log. */
+/** Why a file, or some of its lines, could not be read as a log. */
 export type ReadProblem =
-  /** It can't be read, or not to its end. */
+  /** The file can't be read to its end. */
   | { readonly type: 'unreadable', readonly file: string, readonly detail: string }
-  /** No line of it is one of a log. */
+  /** No line is a log line. */
   | { readonly type: 'no log', readonly file: string }
-  /** Some lines are broken: how many, the first of them, and those that hold the id that was asked for. */
+  /** Some lines are broken: their count, the first line number, and the lines that contain the traced id. */
   | { readonly type: 'broken', readonly file: string, readonly count: number, readonly first: number, readonly withId: ReadonlyArray<{ readonly number: number, readonly text: string }> }
--- a/src/observe/read-survey.ts
+++ b/src/observe/read-survey.ts
@@ -11,7 +11,7 @@
   readonly id: string
 }
 
-/** Reads all lines once: which instances there are, which lines have the id, and what can't be read. */
+/** Reads all logs once, and collects the instances, the lines with the id, the state changes and what can't be read. */
 export async function readSurvey ({ folder, files, id }: ReadSurveyOptions): Promise<LogSurvey> {
   const problems = new ReadProblemCollector(id)
   const startTimes = new Map<string, number>()
--- a/src/observe/read-trace.ts
+++ b/src/observe/read-trace.ts
@@ -18,15 +18,15 @@
 import type { TraceSubject } from './trace-subject.js'
 
 interface ReadTraceOptions {
-  /** Holds the logs of all instances, a JSON object a line; folders within it are read too. */
+  /** Contains the logs of all instances, one JSON object per line. Subfolders are read too. */
   readonly folder: string
-  /** Of a request, an item, a job or a backend server. */
+  /** The id of a request, an item, a job or a backend server. */
   readonly id: string
 }
 
 /**
- * The course of an id from the logs of all instances, in the order of what must have come first. The logs are read three times, a
- * line at a time, so that they may be larger than the memory. Fails where there is no such folder, no log or no such id.
+ * Reads the trace of an id from the logs of all instances, in causal order. The logs are streamed, up to three times, so that
+ * they may be larger than the memory. Returns an error if there is no such folder, no log in it or no line with the id.
  *
  * @example
  * await readTrace({ folder: 'logs', id: 'cd1a93e9cb19cccf' })
@@ -45,7 +45,7 @@
   return Ok(buildTrace(subject, picker, { survey, servers: [...scope.servers].sort(), instances: [...scope.timesByInstance.keys()].sort() }))
 }
 
-/** The lines of the subject: those of an item's job, and of a job's items, may not have its id. */
+/** Reads the lines of the subject. Those of an item's job and of a job's items may lack its id, so they take a second pass. */
 async function readSubjectLines (folder: string, subject: TraceSubject, { files, mentions }: LogSurvey): Promise<readonly LogLine[]> {
   if (subject.type === 'request' || subject.type === 'server') return mentions
   const lines: LogLine[] = []
--- a/src/observe/show-inputs.ts
+++ b/src/observe/show-inputs.ts
@@ -1,11 +1,11 @@
 import type { DecisionInputs } from './decision-inputs.js'
 
-/** What a daemon went by, in words; empty where its log tells of nothing. */
+/** Formats the state that a daemon used; empty if its log shows none. */
 export function showInputs ({ configuration, servers, storeAway }: DecisionInputs): string {
   return [
     ...configuration === undefined ? [] : [`configuration ${configuration.version} for ${configuration.age} ms${showElsewhere(configuration.elsewhere?.version, configuration.elsewhere?.age)}`],
     ...servers.map(({ server, state, age, elsewhere }) => `${server} ${state} for ${age} ms${showElsewhere(elsewhere?.state, elsewhere?.age)}`),
-    ...storeAway === undefined ? [] : [`no answer of the store for ${storeAway} ms`]
+    ...storeAway === undefined ? [] : [`store unavailable for ${storeAway} ms`]
   ].join(', ')
 }
 
--- a/src/observe/show-read-problems.ts
+++ b/src/observe/show-read-problems.ts
@@ -1,7 +1,7 @@
 import { failUnreachable } from '../kernel/unreachable.js'
 import type { ReadProblem } from './read-problem.js'
 
-/** What could not be read, a line a file, with broken lines that hold the id as they stand. */
+/** Formats what could not be read, one line per file, followed by the broken lines that contain the id. */
 export function showReadProblems (unread: readonly ReadProblem[]): readonly string[] {
   return unread.flatMap(one => {
     switch (one.type) {
--- a/src/observe/show-timeline.ts
+++ b/src/observe/show-timeline.ts
@@ -1,14 +1,15 @@
 import { formatOffset } from './format-offset.js'
 import type { TimelineEvent } from './timeline-event.js'
 
+/** Width of the time column, in characters. */
 const TIME_WIDTH = 11
 
 interface ShowTimelineOptions<E> {
-  /** A mark before each line. */
+  /** Returns a prefix for the line of an event. */
   readonly getMark?: (event: E) => string
 }
 
-/** A merged time line as text: ms since its first event, instance, part, what happened. */
+/** Formats a merged timeline as text, one line per event, with times in ms since the first event. */
 export function showTimeline<E extends TimelineEvent> (events: readonly E[], { getMark = () => '' }: ShowTimelineOptions<E> = {}): string {
   const start = events[0]?.time ?? 0
   const width = Math.max(0, ...events.map(({ instance }) => instance.length))
--- a/src/observe/show-trace-header.ts
+++ b/src/observe/show-trace-header.ts
@@ -2,7 +2,7 @@
 
 const MAX_RELATED = 5
 
-/** What the id names, and what its course touched. */
+/** Formats what the id names, with the instances and servers involved. */
 export function showTraceHeader ({ type, id, related, instances, servers }: Trace): string {
   const shown = related.slice(0, MAX_RELATED).join(', ') + (related.length > MAX_RELATED ? ` and ${related.length - MAX_RELATED} more` : '')
   return [
--- a/src/observe/show-trace-notes.ts
+++ b/src/observe/show-trace-notes.ts
@@ -1,7 +1,7 @@
 import { showReadProblems } from './show-read-problems.js'
 import type { Trace } from './trace.js'
 
-/** What stands beside the course: lines that were counted, clocks that differ, and what could not be read. */
+/** Formats the notes of a trace: omitted lines, clock differences and what could not be read. */
 export function showTraceNotes ({ counted, clocks, unread }: Trace): readonly string[] {
   return [
     ...counted.map(({ instance, what, server, count }) => `not shown: ${instance} ${count} x ${what}${server === undefined ? '' : ` at ${server}`}`),
--- a/src/observe/show-trace.ts
+++ b/src/observe/show-trace.ts
@@ -4,7 +4,7 @@
 import type { Trace } from './trace.js'
 import { traceLegend } from './trace-legend.js'
 
-/** A trace as text: what the id names, each line with a mark, and what isn't shown. */
+/** Formats a trace as text: header, legend, timeline and notes. */
 export function showTrace (trace: Trace): string {
   return [
     showTraceHeader(trace),
--- a/src/observe/timeline-event.ts
+++ b/src/observe/timeline-event.ts
@@ -1,6 +1,6 @@
 /**
- * One event on the time line. `time` is a hybrid logical time: an event that another one caused, in whatever
- * process, never has the smaller time.
+ * One event on the timeline. `time` is a hybrid logical time in ms: an effect never has a smaller time than its cause,
+ * also across processes.
  */
 export interface TimelineEvent {
   readonly time: number
--- a/src/observe/timeline.ts
+++ b/src/observe/timeline.ts
@@ -5,12 +5,12 @@
 import type { TimelineEvent } from './timeline-event.js'
 
 const MAX_EVENTS = 20_000
-/** Two events of one process in the same millisecond are told apart by thousandths. */
+/** Smallest time between two events of one process, ms. */
 const TICK = 0.001
 
 /**
- * The events of this daemon, the newest `KEPT_EVENTS` of them. Its times are hybrid logical: each frame from a
- * peer carries the sender's time, and `observe` moves ours past it.
+ * Keeps the newest events of this daemon, up to `MAX_EVENTS`. Its times are hybrid logical: each frame from a peer carries
+ * the time of the sender, and `observe` advances the local time to it.
  */
 @scoped(Lifecycle.ContainerScoped)
 export class Timeline {
@@ -22,22 +22,24 @@
     @inject(tokens.settings) private readonly settings: Settings
   ) {}
 
-  /** The time to stamp on what leaves this process. */
+  /** Advances the logical time and returns it, as the time of an event or a sent frame. */
   tick (): number {
     this.last = Math.max(this.clock.date(), this.last + TICK)
     return this.last
   }
 
+  /** Advances the logical time to that of a received frame. */
   observe (time: number): void {
     this.last = Math.max(this.last, time)
   }
 
+  /** Adds an event with the next logical time. */
   record (event: Omit<TimelineEvent, 'time' | 'instance'>): void {
     this.events.push({ time: this.tick(), instance: this.settings.instance, ...event })
     if (this.events.length > MAX_EVENTS) this.events.splice(0, MAX_EVENTS / 10)
   }
 
-  /** Kept events, oldest first, of one request or one job where given; with `around` also those of no request and no job. */
+  /** Finds events, oldest first, optionally of one request or job. `around` adds the events that belong to neither. */
   find ({ request, job, around = false }: { readonly request?: string, readonly job?: string, readonly around?: boolean } = {}): readonly TimelineEvent[] {
     return this.events.filter(event => (around && event.request === undefined && event.job === undefined) || ((request === undefined || event.request === request) && (job === undefined || event.job === job)))
   }
--- a/src/observe/trace-error.ts
+++ b/src/observe/trace-error.ts
@@ -1,6 +1,6 @@
 import type { ReadProblem } from './read-problem.js'
 
-/** Why logs tell nothing of an id. */
+/** Why no trace of an id can be read. */
 export type TraceError =
   | { readonly type: 'no folder', readonly detail: string }
   | { readonly type: 'no log', readonly files: number, readonly unread: readonly ReadProblem[] }
--- a/src/observe/trace-event.ts
+++ b/src/observe/trace-event.ts
@@ -1,17 +1,20 @@
 import type { DecisionInputs } from './decision-inputs.js'
 import type { TimelineEvent } from './timeline-event.js'
 
-/** A line of a log in the course of what was asked for. */
+/** A log line as an event of a trace. */
 export interface TraceEvent extends TimelineEvent {
-  /** `own`: of the id itself. `failure`: a warning or error beside it. `belief`: what a daemon learnt. `other`: another's at the same servers. */
+  /**
+   * `own`: a line of the traced id. `failure`: a warning or error at about the same time. `belief`: a state change that a
+   * daemon logged. `other`: another request on the same servers.
+   */
   readonly kind: 'own' | 'failure' | 'belief' | 'other'
   readonly level: string
-  /** All that the line says beside its sentence, as it was written. */
+  /** All further fields of the line, unchanged. */
   readonly fields: Readonly<Record<string, unknown>>
-  /** File and number of the line. */
+  /** File and line number, as `file:number`. */
   readonly place: string
-  /** Of the lines of the id itself. */
+  /** State that the daemon used; set for `own` lines. */
   readonly inputs?: DecisionInputs
-  /** Why the event stands after one with a later stamp. */
+  /** Why the event is placed after one with a later timestamp. */
   readonly inferred?: string
 }
--- a/src/observe/trace-scope.ts
+++ b/src/observe/trace-scope.ts
@@ -1,6 +1,6 @@
-/** What the course of an id touched. */
+/** The servers and instances that a trace involves. */
 export interface TraceScope {
   readonly servers: ReadonlySet<string>
-  /** By instance: the times of the course there, ms since 1970 by its clock, in order. */
+  /** Times of the lines of the trace by instance, in order, in ms since 1970 by the clocks of the instances that wrote the lines. */
   readonly timesByInstance: ReadonlyMap<string, readonly number[]>
 }
--- a/src/observe/trace-subject.ts
+++ b/src/observe/trace-subject.ts
@@ -1,4 +1,4 @@
-/** What an id names, with the ids that belong to it. */
+/** What an id names, with the ids of its jobs or items. */
 export type TraceSubject =
   | { readonly type: 'request', readonly id: string }
   | { readonly type: 'item', readonly id: string, readonly jobs: ReadonlySet<string> }
--- a/src/observe/trace.ts
+++ b/src/observe/trace.ts
@@ -3,7 +3,7 @@
 import type { TraceSubject } from './trace-subject.js'
 import type { ReadProblem } from './read-problem.js'
 
-/** The course of a request, item, job or server, from the logs of all instances. */
+/** What happened to a request, item, job or server, from the logs of all instances. */
 export interface Trace {
   readonly id: string
   readonly type: TraceSubject['type']
@@ -12,8 +12,9 @@
   readonly instances: readonly string[]
   readonly servers: readonly string[]
   readonly events: readonly TraceEvent[]
+  /** Lines that are counted instead of shown. */
   readonly counted: readonly OmittedLines[]
-  /** Clocks that must differ: `behind` by `least` ms or more. */
+  /** Pairs of instances whose clocks must differ, by at least `least` ms. */
   readonly clocks: ReadonlyArray<{ readonly behind: string, readonly ahead: string, readonly least: number }>
   readonly unread: readonly ReadProblem[]
 }
--- a/src/report/build-period-report.ts
+++ b/src/report/build-period-report.ts
@@ -11,7 +11,7 @@
 
 const NO_TEAM = '(no team)'
 
-/** One period's figures from the accounts of its days, which may come in any order. */
+/** Builds the figures of one period from the accounts of its days, which may come in any order. */
 export function buildPeriodReport (days: readonly ReportDay[], callers: Readonly<Record<string, ReportedCaller>>): PeriodReport {
   const ordered = [...days].sort((a, b) => a.day < b.day ? -1 : 1)
   const rows = mergeRows(ordered.map(day => day.rows))
--- a/src/report/build-report.ts
+++ b/src/report/build-report.ts
@@ -7,12 +7,12 @@
 
 interface ReportOptions {
   readonly days: readonly ReportDay[]
-  /** As many days before. */
+  /** The days of the previous period. */
   readonly before: readonly ReportDay[]
   readonly callers: Readonly<Record<string, ReportedCaller>>
 }
 
-/** The report of a period beside the one before it. Teams and shares are those of the configuration now in force. */
+/** Builds the report of a period with the previous one for comparison. Teams are those of the configuration now in force. */
 export function buildReport ({ days, before, callers }: ReportOptions): Report {
   const periods = { now: buildPeriodReport(days, callers), before: buildPeriodReport(before, callers) }
   return { ...periods, refusals: listRefusals(periods.now.total, periods.before.total) }
--- a/src/report/columns.ts
+++ b/src/report/columns.ts
@@ -1,10 +1,10 @@
 import { countAll } from './count-all.js'
 import type { ReportLine } from './report-line.js'
 
-/** A figure of a line, under its name in tables and CSV. */
+/** A figure of a line. Its name heads a table column and, with underscores, a CSV column. */
 interface Column { readonly name: string, readonly read: (line: ReportLine) => number }
 
-/** Every figure of a line. Requests and items without an outcome yet are those asked for less all others. */
+/** All figures of a line. Requests and items without an outcome yet are in `asked` and `items` only. */
 export const columns: readonly Column[] = [
   { name: 'asked', read: ({ online }) => online.asked },
   { name: 'answered', read: ({ online }) => online.answered },
--- a/src/report/format-change.ts
+++ b/src/report/format-change.ts
@@ -1,4 +1,4 @@
-/** How a figure stands to the one before it. */
+/** Formats the change of a figure in percent; `new` if it was zero before. */
 export function formatChange (now: number, before: number): string {
   if (now === before) return '='
   if (before === 0) return 'new'
--- a/src/report/merge-lines.ts
+++ b/src/report/merge-lines.ts
@@ -4,7 +4,7 @@
 import type { ReportLine } from './report-line.js'
 import { splitKey } from './split-key.js'
 
-/** Adds rows up by the name that `findName` gives each, in the order of names. Each row is in exactly one line. */
+/** Sums rows by the name that `findName` returns, sorted by name. Each row is in exactly one line. */
 export function mergeLines (rows: AccountRows, findName: (caller: string, service: string) => string): readonly ReportLine[] {
   const lines = new Map<string, ReportLine>()
   for (const [key, counts] of Object.entries(rows)) {
--- a/src/report/period-report.ts
+++ b/src/report/period-report.ts
@@ -1,7 +1,7 @@
 import type { ReportLine } from './report-line.js'
 import type { ServiceTimes } from './service-times.js'
 
-/** One period's figures, each count in one line of each grouping. */
+/** The figures of one period. Each grouping has every count in exactly one line. */
 export interface PeriodReport {
   /** First and last day, YYYY-MM-DD, UTC. */
   readonly since: string
@@ -13,11 +13,13 @@
   readonly days: readonly ReportLine[]
   readonly times: readonly ServiceTimes[]
   readonly bound: {
-    /** Online requests that may lack, at most. */
+    /** Upper bound on the online requests missing from the counts. */
     readonly asked: number
+    /** Daemon runs that they may be missing from. */
     readonly runs: readonly string[]
+    /** Unresponsive daemons. */
     readonly silent: readonly string[]
-    /** Days whose figures are of one daemon only, because the platform couldn't be read. */
+    /** Days whose figures cover one daemon only, because the platform couldn't be read. */
     readonly partial: readonly string[]
   }
 }
--- a/src/report/read-service-times.ts
+++ b/src/report/read-service-times.ts
@@ -2,7 +2,7 @@
 import { createTimeHistogram } from '../admission/create-time-histogram.js'
 import type { ServiceTimes } from './service-times.js'
 
-/** Quantiles of each service's times, by name. */
+/** Reads the percentiles of the times of each service, sorted by name. */
 export function readServiceTimes (times: AccountTimes): readonly ServiceTimes[] {
   return Object.entries(times).sort(([a], [b]) => a < b ? -1 : 1).map(([name, tally]) => {
     const histogram = createTimeHistogram()
--- a/src/report/report-day.ts
+++ b/src/report/report-day.ts
@@ -1,9 +1,9 @@
 import type { MergedAccount } from '../admission/merged-account.js'
 
-/** The account of one day, as a daemon gave it. */
+/** The account of one day, as a daemon returned it. */
 export interface ReportDay extends MergedAccount {
   /** YYYY-MM-DD, UTC. */
   readonly day: string
-  /** Daemons that were asked and didn't answer. */
+  /** Unresponsive daemons, whose recent counts are missing. */
   readonly silent: readonly string[]
 }
--- a/src/report/report.ts
+++ b/src/report/report.ts
@@ -1,10 +1,10 @@
 import type { PeriodReport } from './period-report.js'
 
-/** Who got what in a period, beside as many days before it. */
+/** What each caller, team and service got in a period, with the previous period for comparison. */
 export interface Report {
   readonly now: PeriodReport
   readonly before: PeriodReport
-  /** Refusals and failures of the period by cause, the most frequent first, with what to do about each. */
+  /** Refusals and failures of the period by cause, the most frequent first, with advice on each. */
   readonly refusals: readonly {
     readonly work: 'online' | 'batch'
     readonly type: 'refused' | 'failed'
--- a/src/report/reported-caller.ts
+++ b/src/report/reported-caller.ts
@@ -1,2 +1,2 @@
-/** A caller as the configuration names it when the report is made. */
+/** A caller in the configuration in force when the report is created. */
 export interface ReportedCaller { readonly share: number, readonly team?: string }
--- a/src/report/service-times.ts
+++ b/src/report/service-times.ts
@@ -1,4 +1,4 @@
-/** Times of one service's answers in ms, each read at the upper end of its bucket: at most a sixteenth too high, never too low. */
+/** Response times of one service in ms. Each is the upper end of its histogram bucket: at most a sixteenth too high, never too low. */
 export interface ServiceTimes {
   readonly name: string
   readonly count: number
--- a/src/report/show-undercount.ts
+++ b/src/report/show-undercount.ts
@@ -1,8 +1,8 @@
 import type { MergedAccount } from '../admission/merged-account.js'
 
-/** What an account may lack, as a sentence. */
+/** Formats how many online requests may be missing from an account. */
 export function showUndercount ({ asked, runs }: MergedAccount['mayMiss']): string {
-  if (asked === 0) return 'lacks nothing'
-  if (runs.length === 0) return `may lack up to ${asked} online requests, of runs that ended without their last write`
-  return `may lack up to ${asked} online requests, of ${runs.length === 1 ? '1 run' : `${runs.length} runs`}`
+  if (asked === 0) return 'no online requests are missing'
+  if (runs.length === 0) return `up to ${asked} online requests may be missing, from runs that ended without their last write`
+  return `up to ${asked} online requests may be missing, from ${runs.length === 1 ? '1 run' : `${runs.length} runs`}`
 }
--- a/src/report/write-report-csv.ts
+++ b/src/report/write-report-csv.ts
@@ -4,8 +4,8 @@
 import type { ReportedCaller } from './reported-caller.js'
 
 /**
- * Every day, caller and service as a line of CSV (RFC 4180), the causes as `cause=count` in one field. Its first line
- * names the fields; sums are left to whoever reads it.
+ * Writes CSV (RFC 4180) with a header and one record per day, caller and service. The causes of refusals and failures are
+ * `cause=count` pairs in one field. There are no totals.
  */
 export function writeReportCsv (days: readonly ReportDay[], callers: Readonly<Record<string, ReportedCaller>>): string {
   const head = ['day', 'caller', 'team', 'share', 'service', ...columns.map(({ name }) => name.replaceAll(' ', '_')), 'online_causes', 'batch_causes']
@@ -18,7 +18,7 @@
   return [head, ...lines].map(fields => fields.map(field => escapeField(String(field))).join(',')).join('\r\n') + '\r\n'
 }
 
-/** A field that a spreadsheet would take for a formula is marked as text: names of callers and causes come from outside. */
+/** Quotes a field, and prefixes one that a spreadsheet would evaluate as a formula: names of callers and causes are untrusted. */
 function escapeField (field: string): string {
   const text = /^[=+\-@\t]/.test(field) ? `'${field}` : field
   return /[",\r\n]/.test(text) ? `"${text.replaceAll('"', '""')}"` : text
--- a/test/admission/account-whole.test.ts
+++ b/test/admission/account-whole.test.ts
@@ -48,6 +48,6 @@
 
   const command = await promisify(execFile)(process.execPath, ['dist/citronwheel.cjs', 'account', '--entry', fleet.url(asked!), '--token', fleet.operatorToken, '--caller', 'quay-desk'])
   t.regex(command.stdout, new RegExp(`quay-desk/berth-assistant/online  ${row.asked} asked  ${row.answered} answered  ${row.tokens} tokens`))
-  t.regex(command.stdout, /may lack up to \d+ online requests, of 1 run/)
+  t.regex(command.stdout, /up to \d+ online requests may be missing, from 1 run/)
   t.log({ runs, answered: row.answered, mayMiss })
 })
--- a/test/commands/trace.test.ts
+++ b/test/commands/trace.test.ts
@@ -24,7 +24,7 @@
   const { code, out } = await run('trace', 'r', '--logs', writeLogs(t, LOGS))
   t.is(code, 0)
   t.regex(out, /^request r; at edge-1; servers i-1\n/)
-  t.regex(out, /\. +\+0\.0 ms {2}edge-1 {2}fleet: a server changed {2}server=i-1 state=gone\n> +\+250\.0 ms {2}edge-1 {2}routing: abandoned a request {2}request=r cause=no server .*\[by i-1 gone for 250 ms\]/)
+  t.regex(out, /\. +\+0\.0 ms {2}edge-1 {2}fleet: a server changed {2}server=i-1 state=gone\n> +\+250\.0 ms {2}edge-1 {2}routing: abandoned a request {2}request=r cause=no server .*\[based on i-1 gone for 250 ms\]/)
   t.regex(out, /edge-1\.log: 1 broken line, the first at 3/)
 })
 
--- a/test/observe/loop-delay.test.ts
+++ b/test/observe/loop-delay.test.ts
@@ -11,14 +11,14 @@
   return { clock, metrics, readLongest }
 }
 
-test('a loop in time has no delay', async t => {
+test('an idle event loop has no delay', async t => {
   const { clock, metrics, readLongest } = await createDelay()
   await clock.advance(10_000)
   t.is(metrics.quantile('loop_delay_ms', 100), 0)
   t.is(readLongest(), 0)
 })
 
-test('a loop that stood still is late by what it missed, once', async t => {
+test('a blocked event loop is recorded as one delay of the time that it missed', async t => {
   const { clock, metrics, readLongest } = await createDelay()
   await clock.advance(1_000)
   clock.freeze(400)
@@ -27,7 +27,7 @@
   t.true(Math.abs(metrics.quantile('loop_delay_ms', 100) - 150) < 2)
 })
 
-test('the longest delay is shown for 15 s at least and 30 s at most', async t => {
+test('the longest delay is reported for 15 to 30 s', async t => {
   const { clock, readLongest } = await createDelay()
   await clock.advance(14_000)
   clock.freeze(500)
--- a/test/observe/metrics.test.ts
+++ b/test/observe/metrics.test.ts
@@ -16,7 +16,7 @@
   t.true(Math.abs(Number(median!.split(' ')[1]) - 50) < 1)
 })
 
-test('a time that is no use is bounded rather than thrown', t => {
+test('times out of range are clamped', t => {
   const metrics = new Metrics()
   metrics.observe('wait_ms', -1)
   metrics.observe('wait_ms', 1e12)
--- a/test/observe/read-trace.test.ts
+++ b/test/observe/read-trace.test.ts
@@ -31,14 +31,14 @@
   'b.log': [taken(2_000), started(2_100, 'i2'), ended(2_500, 'i2'), started(2_600, 'k1')].map(line => 'request' in line && line.request === 'k1' ? { ...line, job: 'k' } : line)
 }
 
-test('an item\'s course has its job\'s own lines and none of the job\'s other items', async t => {
+test('the trace of an item has the lines of its job, but none of the job\'s other items', async t => {
   const trace = await read(t, 'i2', JOB)
   t.is(trace.type, 'item')
   t.deepEqual(trace.related, ['j'])
   t.deepEqual(listOwn(trace), ['a confirmed a job', 'a started an item i2', 'b took a job over', 'b started an item i2', 'b an item ended i2'])
 })
 
-test('a job\'s course has its items', async t => {
+test('the trace of a job has its items', async t => {
   const trace = await read(t, 'j', JOB)
   t.is(trace.type, 'job')
   t.deepEqual(trace.related, ['i1', 'i2'])
@@ -46,23 +46,22 @@
   t.deepEqual([trace.instances, trace.servers], [['a', 'b'], ['s1']])
 })
 
-// The clock of the instance that takes a job over is 5 s behind. By stamps alone the job is taken over, and an item ended, before it was
-// confirmed, and whoever reads it looks for a fault that isn't there.
-test('a job is confirmed before another daemon takes it over, whatever the stamps say, and the output says so', async t => {
+// The clock of the instance that takes a job over is 5 s behind. By timestamp alone, the job would be taken over before it was confirmed.
+test('a job is confirmed before another daemon takes it over, whatever the timestamps, and the output gives the reason', async t => {
   const trace = await read(t, 'j', {
     'a.log': [accepted(5_000), started(5_010, 'i1')],
     'b.log': [taken(400), started(500, 'i1'), ended(900, 'i1')]
   })
   t.deepEqual(listOwn(trace), ['a confirmed a job', 'b took a job over', 'b started an item i1', 'b an item ended i1', 'a started an item i1'])
-  t.regex(trace.events[1]!.inferred!, /^stamped 4600 ms before a line above: a job is confirmed before another daemon takes it over$/)
-  t.regex(trace.events[2]!.inferred!, /stamped 4500 ms before a line above/)
+  t.regex(trace.events[1]!.inferred!, /^timestamp 4600 ms before that of a line above: a job is confirmed before another daemon takes it over$/)
+  t.regex(trace.events[2]!.inferred!, /timestamp 4500 ms before that of a line above/)
   t.is(trace.events.at(-1)!.inferred, undefined)
   t.deepEqual(trace.clocks, [{ behind: 'b', ahead: 'a', least: 4_600 }])
   t.regex(showTrace(trace), /the clock of b is behind that of a by 4600 ms or more/)
-  t.regex(buildTracePage(trace), /stamped 4600 ms before[^]*jobs: took a job over \(against its stamp\)/)
+  t.regex(buildTracePage(trace), /timestamp 4600 ms before[^]*jobs: took a job over \(out of timestamp order\)/)
 })
 
-test('a daemon gives a job to its other owner after that one has it', async t => {
+test('a daemon hands a job over after the other owner has taken it', async t => {
   const trace = await read(t, 'j', {
     'a.log': [{ at: 900, part: 'jobs', message: 'gave a job to its other owner', job: 'j', to: 'b' }],
     'b.log': [taken(1_000)]
@@ -70,13 +69,13 @@
   t.deepEqual(listOwn(trace), ['b took a job over', 'a gave a job to its other owner'])
 })
 
-test('the lines of a process keep their order when its clock is set back', async t => {
+test('lines of a process keep their order when its clock is set back', async t => {
   const trace = await read(t, 'j', { 'a.log': [accepted(5_000), started(1_000, 'i1'), ended(1_100, 'i1')] })
   t.deepEqual(listOwn(trace), ['a confirmed a job', 'a started an item i1', 'a an item ended i1'])
-  t.regex(trace.events[1]!.inferred!, /stamped 4000 ms before a line above: .*clock was set back/)
+  t.regex(trace.events[1]!.inferred!, /timestamp 4000 ms before that of a line above: .*clock was set back/)
 })
 
-test('where the rules contradict each other, one is passed over and every line is shown', async t => {
+test('where constraints contradict each other, one is ignored and every line is shown', async t => {
   const trace = await read(t, 'j', {
     'a.log': [{ at: 0, part: 'jobs', message: 'gave a job to its other owner', job: 'j', to: 'b' }, accepted(10)],
     'b.log': [taken(5)]
@@ -84,7 +83,7 @@
   t.deepEqual(listOwn(trace), ['a gave a job to its other owner', 'a confirmed a job', 'b took a job over'])
 })
 
-test('each line of its own says by which configuration and which state of its servers, and how old they were', async t => {
+test('lines of the traced id show the configuration and server states that the daemon used, with their ages', async t => {
   const trace = await read(t, 'r', {
     'a.log': [
       { at: 0, part: 'fleet', message: 'a configuration is in force', version: 7, routes: 2 },
@@ -98,13 +97,13 @@
   })
   const [cut, whole] = trace.events.filter(({ kind }) => kind === 'own')
   t.deepEqual(cut!.inputs, { configuration: { version: 7, age: 3_500 }, servers: [{ server: 's1', state: 'live', age: 2_500 }], storeAway: 1_500 })
-  t.regex(cut!.detail!, /why=cut \[by configuration 7 for 3500 ms, s1 live for 2500 ms, no answer of the store for 1500 ms\]/)
-  // A process that begins anew has learnt nothing yet.
+  t.regex(cut!.detail!, /why=cut \[based on configuration 7 for 3500 ms, s1 live for 2500 ms, store unavailable for 1500 ms\]/)
+  // A restarted process holds no state.
   t.deepEqual(whole!.inputs, { servers: [] })
 })
 
-// A daemon that is cut off goes on with a server that has left, and with an old configuration: its log alone shows nothing wrong.
-test('what the other daemons knew better at that time is told', async t => {
+// A partitioned daemon keeps using an old configuration and a server that has left, and its own log shows nothing wrong.
+test('newer state at other daemons is shown', async t => {
   const trace = await read(t, 'r', {
     'a.log': [
       { at: 0, part: 'fleet', message: 'a configuration is in force', version: 7 },
@@ -117,10 +116,10 @@
       { at: 6_000, part: 'fleet', message: 'a configuration is in force', version: 9 }
     ]
   })
-  t.regex(trace.events.at(-1)!.detail!, /\[by configuration 7 for 5000 ms \(elsewhere 8 for 2000 ms\), s1 live for 5000 ms \(elsewhere gone for 1000 ms\)\]/)
+  t.regex(trace.events.at(-1)!.detail!, /\[based on configuration 7 for 5000 ms \(elsewhere 8 for 2000 ms\), s1 live for 5000 ms \(elsewhere gone for 1000 ms\)\]/)
 })
 
-test('warnings of that second, news of the servers and others\' failures there stand beside it, and nothing of elsewhere', async t => {
+test('warnings, server changes and failures of other requests on the same servers are shown, and nothing of other servers or instances', async t => {
   const trace = await read(t, 'r', {
     'a.log': [
       { at: 0, part: 'fleet', message: 'a server changed', server: 's1', state: 'gone' },
@@ -142,7 +141,7 @@
   t.deepEqual(trace.counted, [{ instance: 'a', what: 'routing: answered a request', server: 's1', count: 2 }])
 })
 
-test('of many like failures in a second some are shown and all others counted', async t => {
+test('of many similar failures within a second, some are shown and the rest counted', async t => {
   const rare = { ...refused(150, 'y'), cause: 'no server' }
   const trace = await read(t, 'r', { 'a.log': [...Array.from({ length: 20 }, (_, i) => refused(100 + i, `x${i}`)), rare, answered(500, 'r')] })
   const failures = trace.events.filter(({ kind }) => kind === 'failure')
@@ -153,8 +152,8 @@
   t.is(failures.length + trace.counted[0]!.count, 21)
 })
 
-// A daemon that was killed has written nothing of the job; its log is found by the name under which the others speak of it.
-test('a daemon that a line names by its address is looked at too', async t => {
+// A killed daemon may have logged nothing of the job. Its log is found by the name under which others refer to it.
+test('a daemon that a line names by its address is included', async t => {
   const trace = await read(t, 'j', {
     'a.log': [{ at: 0, part: 'kernel', message: 'runs', name: '10.0.0.1:8326' }, { at: 1_500, level: 'error', part: 'entry', message: 'a request failed' }],
     'b.log': [taken(2_000)]
@@ -163,7 +162,7 @@
   t.true(trace.events.some(({ instance, kind }) => instance === 'a' && kind === 'failure'))
 })
 
-test('a server\'s course has what every daemon learnt of it and each failure there; usual requests are counted', async t => {
+test('the trace of a server has its state changes at every daemon and its failures; routine requests are counted', async t => {
   const trace = await read(t, 's1', {
     'a.log': [{ at: 0, part: 'fleet', message: 'a server changed', server: 's1', state: 'live' }, answered(10, 'r'), { ...refused(20, 'q'), tried: ['s1'] }],
     'b.log': [{ at: 15, level: 'warn', part: 'quarantine', message: 'a server was lost with requests in flight', server: 's1', suspects: 2 }]
@@ -173,7 +172,7 @@
   t.is(trace.counted[0]!.count, 1)
 })
 
-test('broken lines, files that are no logs and files that can\'t be read are counted, and hide nothing else', async t => {
+test('broken lines, files that are not logs and unreadable files are reported, and the rest is still read', async t => {
   const folder = writeLogs(t, {
     'a.log': ['{"torn', answered(0, 'r') as Readonly<Record<string, unknown>>, '{"request":"r","message":"cut sho', ''],
     'notes.txt': ['some words', '{"a":1}'],
@@ -192,14 +191,14 @@
   t.regex(text, /link\.log can't be read/)
 })
 
-test('a file that ends within a line loses nothing before it, and one that is a single long line is none', async t => {
+test('an overlong last line without a line break is reported as broken, and the lines before it are kept', async t => {
   const folder = writeLogs(t, { 'a.log': [answered(0, 'r') as Readonly<Record<string, unknown>>, 'x'.repeat(3_000_000)] })
   const trace = (await readTrace({ folder, id: 'r' })).unwrap()
   t.is(listOwn(trace).length, 1)
   t.is(trace.unread[0]!.type, 'broken')
 })
 
-test('of one instance\'s files the older is read first', async t => {
+test('the older file of an instance is read first', async t => {
   const trace = await read(t, 'r', {
     'a.log': [answered(9_000, 'r')],
     'a.log.1': [{ at: 0, part: 'fleet', message: 'a configuration is in force', version: 7 }]
@@ -207,13 +206,13 @@
   t.deepEqual(trace.events.at(-1)!.inputs?.configuration, { version: 7, age: 9_000 })
 })
 
-test('the page has the course, its marks, the longest waits and the notes, escaped, and nothing from outside', async t => {
+test('the page has the timeline, legend, longest gaps and notes, escaped, and is self-contained', async t => {
   const page = buildTracePage(await read(t, 'j', { ...JOB, 'c.log': ['{"<script>'] }))
-  for (const text of ['jobs: took a job over', 'a: started an item, then an item ended', 'c.log is not a log', 'its own']) t.true(page.includes(text), text)
+  for (const text of ['jobs: took a job over', 'a: started an item, then an item ended', 'c.log is not a log', 'line of the traced id']) t.true(page.includes(text), text)
   t.false(/<script|src=|href=/.test(page))
 })
 
-test('no folder, no log and no such id are told apart', async t => {
+test('a missing folder, a folder without logs and an unknown id are different errors', async t => {
   const folder = writeLogs(t, { 'a.log': [answered(0, 'r') as Readonly<Record<string, unknown>>, '{"request":"lost'] })
   const missing = await readTrace({ folder: join(folder, 'none'), id: 'r' })
   const unknown = await readTrace({ folder, id: 'lost' })
--- a/test/observe/timeline.test.ts
+++ b/test/observe/timeline.test.ts
@@ -12,19 +12,19 @@
   return new Timeline(clock, { instance } as unknown as Settings)
 }
 
-test('an event that a message caused stands after its cause, although the receiver\'s clock is behind', async t => {
+test('an event caused by a message is ordered after its cause, although the clock of the receiver is behind', async t => {
   const ahead = new VirtualClock()
   await ahead.advance(60_000)
   const sender = createTimeline('entry-0', ahead)
   const receiver = createTimeline('entry-1')
-  sender.record({ part: 'routing', what: 'told the owner', request: 'r' })
+  sender.record({ part: 'routing', what: 'notified the owner', request: 'r' })
   receiver.observe(sender.tick())
-  receiver.record({ part: 'ownership', what: 'gave way', request: 'r' })
+  receiver.record({ part: 'ownership', what: 'preempted', request: 'r' })
   const merged = mergeTimelines([receiver.find(), sender.find()])
-  t.deepEqual(merged.map(({ what }) => what), ['told the owner', 'gave way'])
+  t.deepEqual(merged.map(({ what }) => what), ['notified the owner', 'preempted'])
 })
 
-test('only the events of the request or job asked for are found', t => {
+test('find returns only the events of the given request or job', t => {
   const timeline = createTimeline('entry-0')
   timeline.record({ part: 'entry', what: 'asked', request: 'a' })
   timeline.record({ part: 'batch', what: 'claimed', job: 'j' })
@@ -33,7 +33,7 @@
   t.is(timeline.find().length, 2)
 })
 
-test('the page holds every event, with text from callers escaped, and nothing from outside', t => {
+test('the page has every event, with text from callers escaped, and is self-contained', t => {
   const timeline = createTimeline('entry-0')
   timeline.record({ part: 'entry', what: 'asked', request: 'r', detail: '<script>' })
   timeline.record({ part: 'entry', what: 'answered', request: 'r' })
@@ -43,9 +43,9 @@
   t.regex(showTimeline(timeline.find()), /\+0\.0 ms {2}entry-0 {2}entry: asked {2}request=r <script>/)
 })
 
-// A daemon is killed while it holds a chunk of a job, and tells nothing of it. Who reads the job's time line sees why it
-// stood still from what the others saw of that daemon and of servers meanwhile, and nothing of before and after.
-test('a job\'s time line has what happened to servers and daemons meanwhile', async t => {
+// A daemon that is killed while it holds a chunk records nothing of that, so the timeline of the job must include the events of
+// other daemons and servers meanwhile, but none from long before or from after.
+test('the timeline of a job includes server and daemon events meanwhile', async t => {
   const clock = new VirtualClock()
   const timeline = createTimeline('entry-0', clock)
   const record = async (event: Parameters<Timeline['record']>[0]): Promise<void> => {
--- a/test/report/build-report.test.ts
+++ b/test/report/build-report.test.ts
@@ -33,8 +33,7 @@
   })
 }
 
-// A manager adds the lines of any table of the report up and must come to its total, which must be what was counted.
-test('days, callers, teams and services each add up to the period, and each thing is in it once', t => {
+test('days, callers, teams and services each add up to the total of the period, which equals what was counted', t => {
   t.notThrows(() => fc.assert(fc.property(fc.array(counted, { maxLength: 60 }), all => {
     const { now } = buildReport({ days: buildDays(all), before: [], callers: CALLERS })
     for (const { name, read } of columns) {
@@ -50,14 +49,14 @@
   }), { seed: 3, numRuns: 200 }))
 })
 
-test('the order in which days come changes nothing', t => {
+test('the report does not depend on the order of the days', t => {
   t.notThrows(() => fc.assert(fc.property(fc.array(counted, { maxLength: 40 }), fc.shuffledSubarray([0, 1, 2, 3, 4, 5, 6], { minLength: 7 }), (all, order) => {
     const days = buildDays(all)
     t.deepEqual(buildReport({ days: order.map(i => days[i]!), before: [], callers: CALLERS }), buildReport({ days, before: [], callers: CALLERS }))
   }), { seed: 5, numRuns: 100 }))
 })
 
-test('a time is read at most a sixteenth too high, and never too low', t => {
+test('percentiles are at most a sixteenth too high, and never too low', t => {
   t.notThrows(() => fc.assert(fc.property(fc.array(fc.nat(100_000), { minLength: 1, maxLength: 200 }), times => {
     const days = buildDays(times.map(first => ({ day: 0, caller: 'quay-desk', service: 'berth', work: 'online', entry: { type: 'answered', tokens: 1, first } })))
     const { p95 } = buildReport({ days, before: [], callers: CALLERS }).now.times[0]!
@@ -68,7 +67,7 @@
 
 const had = fc.record({ share: fc.integer({ min: 1, max: 9 }), got: fc.nat(1_000), waited: fc.boolean() })
 
-test('what callers are entitled to adds up to what was given, and nobody who had all it asked for is shorted', t => {
+test('entitlements add up to the time given, and a caller that never waited is entitled to no more than it got', t => {
   t.notThrows(() => fc.assert(fc.property(fc.array(had, { minLength: 1, maxLength: 8 }), all => {
     const entitled = splitEntitlements(all)
     const given = all.reduce((sum, { got }) => sum + got, 0)
@@ -77,7 +76,7 @@
   }), { seed: 13, numRuns: 500 }))
 })
 
-test('weeks and days to report', t => {
+test('periods are parsed from weeks and days, and invalid ones are refused', t => {
   const date = Date.UTC(2026, 11, 2, 12)
   t.deepEqual(findPeriod({ week: '2026-W48', date }).unwrap(), { since: '2026-11-23', until: '2026-11-29', before: { since: '2026-11-16', until: '2026-11-22' } })
   t.deepEqual(findPeriod({ date }).unwrap(), { since: '2026-11-30', until: '2026-12-02', before: { since: '2026-11-23', until: '2026-11-25' } })
@@ -86,7 +85,7 @@
   for (const wrong of [{ week: '2026-W54' }, { week: '2026-48' }, { week: '2026-W00' }, { week: '2026-W50' }, { since: '2026-02-30' }, { since: '2026-11-30', until: '2026-11-29' }, { week: '2026-W48', since: '2026-11-23' }]) t.true(findPeriod({ ...wrong, date }).err, JSON.stringify(wrong))
 })
 
-test('names are escaped in pages and tables', t => {
+test('names are escaped in HTML and CSV', t => {
   const day: ReportDay = { ...buildDays([])[0]!, rows: buildNamed('=<b>"x",y') }
   const page = buildReportPage(buildReport({ days: [day], before: [], callers: {} }))
   t.false(page.includes('<b>'))
@@ -101,10 +100,10 @@
   return account.read()
 }
 
-test('the text names what to do about each cause and what the figures may lack', t => {
+test('the text has advice on each cause and states what may be missing from the figures', t => {
   const days = buildDays([]).map(day => ({ ...day, rows: buildNamed('quay-desk'), whole: day.day !== '2026-11-25' }))
   const text = formatReport(buildReport({ days, before: days.slice(0, 1), callers: CALLERS }))
-  t.regex(text, /7 online refused: overloaded \(\+600 %\)\n {4}more was asked for/)
-  t.regex(text, /may lack up to 21 online requests, of 2 runs/)
+  t.regex(text, /7 online refused: overloaded \(\+600 %\)\n {4}demand exceeded the capacity/)
+  t.regex(text, /up to 21 online requests may be missing, from 2 runs/)
   t.regex(text, /2026-11-25: the platform could not be read/)
 })
--- a/test/report/report-whole.test.ts
+++ b/test/report/report-whole.test.ts
@@ -14,10 +14,9 @@
 const ITEMS = 20
 const TOKENS = 4
 
-// Requests and a job go through all daemons, one of which is killed afterwards with what it hasn't written. A manager's
-// report of the week must have every run of the engine's own log, but for as many as it says the killed daemon may have
-// had, and no more than were run.
-test('the weekly report equals the engine\'s log, and states what a killed daemon may have had', async t => {
+// Requests and a job go through all daemons, one of which is then killed before it has written its last counts. The report must
+// have every run in the log of the engine, except at most as many as it states may be missing, and none twice.
+test('the weekly report matches the log of the engine, and bounds the requests missing from a killed daemon', async t => {
   const fleet = await Fleet.start()
   t.teardown(async () => await fleet.stop())
   const [engine] = await Promise.all([
@@ -47,13 +46,13 @@
   t.is(now.teams.find(({ name }) => name === 'keelmoor')?.online.answered, DAEMONS * REQUESTS)
   t.deepEqual(now.times.map(({ name, count }) => [name, count]), [['berth-assistant/first token', DAEMONS * REQUESTS / 2], ['berth-assistant/whole answer', DAEMONS * REQUESTS]])
 
-  // Daemons are listed in the order in which they came up; the first is the one that is asked.
+  // The report is read from the first daemon, so another one is killed.
   await fleet.kill(fleet.daemons.at(-1)!.instance.name)
   const text = await report('--html', join(folder, 'report.html'), '--csv', join(folder, 'report.csv'))
-  const [, bound = '0'] = /may lack up to (\d+) online requests, of 1 run/.exec(text) ?? []
+  const [, bound = '0'] = /up to (\d+) online requests may be missing, from 1 run/.exec(text) ?? []
   const csv = readFileSync(join(folder, 'report.csv'), 'utf8').trim().split('\r\n').map(line => line.split(','))
   const answered = csv.filter(fields => fields[1] === 'quay-desk').reduce((sum, fields) => sum + Number(fields[csv[0]!.indexOf('answered')]), 0)
-  t.true(answered <= DAEMONS * REQUESTS && answered + Number(bound) >= DAEMONS * REQUESTS, `${answered} answered, may lack ${bound}`)
+  t.true(answered <= DAEMONS * REQUESTS && answered + Number(bound) >= DAEMONS * REQUESTS, `${answered} answered, up to ${bound} may be missing`)
   t.regex(readFileSync(join(folder, 'report.html'), 'utf8'), /<svg/)
   t.log({ runs: runs.length, answeredAfterKill: answered, bound: Number(bound) })
   t.log(text)
