--- a/src/observe/line-picker.ts
+++ b/src/observe/line-picker.ts
@@ -9,7 +9,7 @@
 import type { TraceScope } from './trace-scope.js'
 import type { TraceSubject } from './trace-subject.js'
 
-/** Lines of other requests with the same message and server are shown up to this often per instance and second; the rest are counted. */
+/** Failures and lines of other requests with the same message, reason and server are shown up to this often per instance and second. */
 const MAX_SHOWN_PER_SECOND = 3
 const SECOND = 1_000
 
--- a/src/report/find-advice.ts
+++ b/src/report/find-advice.ts
@@ -1,6 +1,6 @@
 /** Advice for managers and operators on refusals and failures, by cause. */
 const ADVICE: Readonly<Record<string, string>> = {
-  overloaded: 'demand exceeded the capacity of the pool or the share of the caller: add servers to it, raise the share of important callers, or spread the load over the day',
+  overloaded: 'demand exceeded the capacity of the pool or the share of the caller: add servers to the pool, raise the share of important callers, or spread the load over the day',
   'no server': 'no server of the pool was available: check for servers that were down or leaving (citronwheel timeline)',
   deadline: 'answers took longer than limits.deadline: check the response times and look for slow servers',
   'server failed': 'a server failed after the request was sent, and the request must not be retried or its retries failed too: check for lost servers',
--- a/test/observe/read-trace.test.ts
+++ b/test/observe/read-trace.test.ts
@@ -191,7 +191,7 @@
   t.regex(text, /link\.log can't be read/)
 })
 
-test('an overlong last line without a line break is reported as broken, and the lines before it are kept', async t => {
+test('an overlong line is reported as broken, and the lines before it are kept', async t => {
   const folder = writeLogs(t, { 'a.log': [answered(0, 'r') as Readonly<Record<string, unknown>>, 'x'.repeat(3_000_000)] })
   const trace = (await readTrace({ folder, id: 'r' })).unwrap()
   t.is(listOwn(trace).length, 1)
