--- a/src/report/columns.ts
+++ b/src/report/columns.ts
@@ -1,22 +1,22 @@
-import { countTally } from './count-tally.js'
+import { countAll } from './count-all.js'
 import type { ReportLine } from './report-line.js'
 
-/** A figure of a line, under its name in tables and CSV. */
+/** A figure of a line. Its name heads a table column and, with underscores, a CSV column. */
 interface Column { readonly name: string, readonly read: (line: ReportLine) => number }
 
-/** Every figure of a line. Requests and items without an outcome yet are those asked for less all others. */
+/** All figures of a line. Requests and items without an outcome yet are in `asked` and `items` only. */
 export const columns: readonly Column[] = [
   { name: 'asked', read: ({ online }) => online.asked },
   { name: 'answered', read: ({ online }) => online.answered },
-  { name: 'refused', read: ({ online }) => countTally(online.refused) },
-  { name: 'failed', read: ({ online }) => countTally(online.failed) },
+  { name: 'refused', read: ({ online }) => countAll(online.refused) },
+  { name: 'failed', read: ({ online }) => countAll(online.failed) },
   { name: 'tokens', read: ({ online }) => online.tokens },
   { name: 'waited ms', read: ({ online }) => online.waited },
   { name: 'busy got ms', read: ({ online }) => online.got },
   { name: 'busy entitled ms', read: ({ online }) => online.entitled },
   { name: 'items', read: ({ batch }) => batch.asked },
   { name: 'done', read: ({ batch }) => batch.answered },
-  { name: 'items failed', read: ({ batch }) => countTally(batch.failed) - (batch.failed.unknown ?? 0) },
+  { name: 'items failed', read: ({ batch }) => countAll(batch.failed) - (batch.failed.unknown ?? 0) },
   { name: 'items unknown', read: ({ batch }) => batch.failed.unknown ?? 0 },
   { name: 'batch tokens', read: ({ batch }) => batch.tokens },
   { name: 'jobs on time', read: ({ batch }) => batch.jobs['on time'] ?? 0 },
