--- a/demo/caller.ts
+++ b/demo/caller.ts
@@ -7,17 +7,17 @@
 interface FinalAnswer { readonly status: number, readonly text: string, readonly sends: number }
 
 /**
- * A caller as the brief describes one: it asks the system for addresses, keeps the answer for a while, connects there
- * itself, and sends again elsewhere when a connection is lost or it is told when to come back.
+ * A caller that reads entry addresses from the system, caches them for the given time and connects to them in turn. It
+ * sends a request again, to the next address, after a lost connection or an answer that asks for a retry.
  */
 export class Caller {
-  /** Answers heard, of any status. */
-  heard = 0
+  /** Answers received, of any status. */
+  answerCount = 0
   private addresses: readonly string[] = []
   private keptUntil = 0
   private turn = 0
 
-  constructor (private readonly known: readonly string[], readonly name: string) {}
+  constructor (private readonly entryUrls: readonly string[], readonly name: string) {}
 
   async send (method: 'GET' | 'POST', path: string, body?: unknown, headers: Readonly<Record<string, string>> = {}): Promise<FinalAnswer> {
     let last: FinalAnswer = { status: 0, text: 'never sent', sends: 0 }
@@ -30,7 +30,7 @@
           body: body === undefined ? null : JSON.stringify(body)
         })
         last = { status: response.statusCode, text: await response.body.text(), sends }
-        this.heard++
+        this.answerCount++
         if (response.statusCode < 500 && response.statusCode !== 429 && response.statusCode !== 409) return last
         await this.pause(Number(response.headers['retry-after'] ?? 0) * MS_PER_SECOND)
       } catch (error) {
@@ -42,12 +42,12 @@
   }
 
   private async chooseAddress (): Promise<string> {
-    if (Date.now() > this.keptUntil) await this.askAddresses()
+    if (Date.now() > this.keptUntil) await this.refreshAddresses()
     return this.addresses[this.turn++ % this.addresses.length]!
   }
 
-  private async askAddresses (): Promise<void> {
-    for (const url of this.known) {
+  private async refreshAddresses (): Promise<void> {
+    for (const url of this.entryUrls) {
       try {
         const response = await request(`${url}/v1/addresses`, { headers: { authorization: `Bearer ${this.name}-token` } })
         const { addresses, keep } = await response.body.json() as { addresses: { url: string }[], keep: number }
@@ -55,10 +55,10 @@
         this.keptUntil = Date.now() + keep
         if (this.addresses.length > 0) return
       } catch {
-        // An entry instance that is gone: the next one is asked.
+        // The entry instance is gone: try the next one.
       }
     }
-    throw new Error('no entry instance gave addresses')
+    throw new Error('no entry instance returned addresses')
   }
 
   private async pause (time: number): Promise<void> {
--- a/src/observe/read-trace.ts
+++ b/src/observe/read-trace.ts
@@ -2,12 +2,12 @@
 import { failUnreachable } from '../kernel/unreachable.js'
 import { buildTraceEvent } from './build-trace-event.js'
 import { findSubject } from './find-subject.js'
-import { findTouched } from './find-touched.js'
+import { findTraceScope } from './find-trace-scope.js'
 import { isSubjectLine } from './is-subject-line.js'
 import { LinePicker } from './line-picker.js'
-import { listClocks } from './list-clocks.js'
+import { listClockSkews } from './list-clock-skews.js'
 import { listLogFiles } from './list-log-files.js'
-import { listOrderRules } from './list-order-rules.js'
+import { listOrderConstraints } from './list-order-constraints.js'
 import type { LogLine } from './log-line.js'
 import type { LogSurvey } from './log-survey.js'
 import { orderLines } from './order-lines.js'
@@ -18,15 +18,15 @@
 import type { TraceSubject } from './trace-subject.js'
 
 interface ReadTraceOptions {
-  /** Holds the logs of all instances, a JSON object a line; folders within it are read too. */
+  /** Contains the logs of all instances, one JSON object per line. Subfolders are read too. */
   readonly folder: string
-  /** Of a request, an item, a job or a backend server. */
+  /** The id of a request, an item, a job or a backend server. */
   readonly id: string
 }
 
 /**
- * The course of an id from the logs of all instances, in the order of what must have come first. The logs are read three times, a
- * line at a time, so that they may be larger than the memory. Fails where there is no such folder, no log or no such id.
+ * Reads the trace of an id from the logs of all instances, in causal order. The logs are streamed, up to three times, so that
+ * they may be larger than the memory. Returns an error if there is no such folder, no log in it or no line with the id.
  *
  * @example
  * await readTrace({ folder: 'logs', id: 'cd1a93e9cb19cccf' })
@@ -39,13 +39,13 @@
   if (lines === 0) return Err({ type: 'no log', files: listed.val.length, unread })
   const subject = findSubject(id, mentions)
   if (subject === undefined) return Err({ type: 'unknown id', lines, instances: new Set(instances.values()).size, unread })
-  const touched = findTouched(await readSubjectLines(folder, subject, survey), { subject, instances })
-  const picker = new LinePicker({ subject, touched, news: survey.news })
+  const scope = findTraceScope(await readSubjectLines(folder, subject, survey), { subject, instances })
+  const picker = new LinePicker({ subject, scope, history: survey.history })
   for await (const line of readLogs({ folder, files })) picker.observe(line)
-  return Ok(buildTrace(subject, picker, { survey, servers: [...touched.servers].sort(), instances: [...touched.times.keys()].sort() }))
+  return Ok(buildTrace(subject, picker, { survey, servers: [...scope.servers].sort(), instances: [...scope.timesByInstance.keys()].sort() }))
 }
 
-/** The lines of the subject: those of an item's job, and of a job's items, may not have its id. */
+/** Reads the lines of the subject. Those of an item's job and of a job's items may lack its id, so they take a second pass. */
 async function readSubjectLines (folder: string, subject: TraceSubject, { files, mentions }: LogSurvey): Promise<readonly LogLine[]> {
   if (subject.type === 'request' || subject.type === 'server') return mentions
   const lines: LogLine[] = []
@@ -54,18 +54,18 @@
 }
 
 function buildTrace (subject: TraceSubject, picker: LinePicker, { survey, servers, instances }: { readonly survey: LogSurvey } & Pick<Trace, 'servers' | 'instances'>): Trace {
-  const picked = new Map(picker.picked.map(one => [one.line, one]))
-  const lines = [...picked.keys()]
-  const rules = listOrderRules(lines, survey.instances)
+  const pickedByLine = new Map(picker.picked.map(one => [one.line, one]))
+  const lines = [...pickedByLine.keys()]
+  const constraints = listOrderConstraints(lines, survey.instances)
   return {
     id: subject.id,
     type: subject.type,
     related: listRelated(subject),
     instances,
     servers,
-    events: orderLines(lines, rules).map(({ line, inferred }) => buildTraceEvent(picked.get(line)!, inferred)),
-    counted: picker.listCounted(),
-    clocks: listClocks(rules),
+    events: orderLines(lines, constraints).map(({ line, inferred }) => buildTraceEvent(pickedByLine.get(line)!, inferred)),
+    counted: picker.listOmitted(),
+    clocks: listClockSkews(constraints),
     unread: survey.unread
   }
 }
--- a/stand-ins/platform/memory-store.ts
+++ b/stand-ins/platform/memory-store.ts
@@ -6,45 +6,45 @@
 import type { WatchBatch } from '../../src/store/watch-batch.js'
 import { ObjectTable } from './object-table.js'
 
-/** One call as a fault sees it. */
+/** A call, as passed to `fault`. */
 interface StoreCall { readonly call: 'get' | 'put' | 'delete' | 'list' | 'watch' | 'instances', readonly kind: string, readonly name: string }
 
 /**
- * What a fault does to a call: nothing, fail it before it takes effect, lose the reply after, answer an error now and
- * run it at `runDelayed`, or (for a get, list or first watch) answer it from the state at the last `keepOld`.
+ * The effect of a fault on a call: none, failure before it takes effect, loss of the reply after it took effect, an error
+ * now and its effect at `runDelayed`, or (for a get, list or first watch) an answer from the last `keepSnapshot`.
  */
 type FaultEffect = 'none' | 'old read' | { readonly fail: StoreError } | { readonly loseReply: StoreError } | { readonly landLater: StoreError }
 
 /**
- * An object API in memory, for decision tests: the same table as the stand-in platform, without processes or time.
+ * An in-memory object store for tests: the table of the stand-in platform, without processes or time.
  *
  * @example
  * const store = new MemoryStore()
  * store.fault = ({ call }) => call === 'put' ? { fail: { type: 'unavailable', reason: 'outage' } } : 'none'
  */
 export class MemoryStore implements ObjectStore {
-  /** What was said of the state of objects, by `KIND/NAME`. */
+  /** Statuses written by `putStatus`, by `KIND/NAME`. */
   readonly statuses = new Map<string, unknown>()
-  readonly objects = new ObjectTable(() => this.age)
+  readonly objects = new ObjectTable(() => this.generation)
   readonly calls: StoreCall[] = []
   instances: readonly Instance[] = []
   fault: (call: StoreCall) => FaultEffect = () => 'none'
-  private age = 1
+  private generation = 1
   private readonly delayed: Array<() => void> = []
 
-  /** Keeps the present state as what an old read gets from here on. */
+  /** Makes the present state the one that 'old read' effects return. */
   keepSnapshot (): void {
-    this.age++
+    this.generation++
   }
 
-  /** Runs the writes that faults held back, in the order they were sent. */
+  /** Applies the writes that faults held back, in the order in which they were sent. */
   runDelayed (): void {
     for (const run of this.delayed.splice(0)) run()
   }
 
   async get<T> (kind: string, name: string): Promise<Result<StoredObject<T>, StoreError>> {
     return await this.call({ call: 'get', kind, name }, old => {
-      const object = old ? this.objects.readAt(kind, name, this.age - 1) : this.objects.read(kind, name)
+      const object = old ? this.objects.readAt(kind, name, this.generation - 1) : this.objects.read(kind, name)
       return object === undefined ? Err({ type: 'missing' } as const) : Ok(copy(object) as StoredObject<T>)
     })
   }
@@ -70,16 +70,16 @@
 
   async list<T> (kind: string, { prefix = '', after = '', limit = 500 } = {}): Promise<Result<readonly StoredObject<T>[], StoreError>> {
     return await this.call({ call: 'list', kind, name: prefix }, old => {
-      const objects = old ? this.objects.listAt(kind, prefix, after, limit, this.age - 1) : this.objects.list(kind, prefix, after, limit)
+      const objects = old ? this.objects.listAt(kind, prefix, after, limit, this.generation - 1) : this.objects.list(kind, prefix, after, limit)
       return Ok(copy(objects) as StoredObject<T>[])
     })
   }
 
-  /** Never waits: gives what has changed, which may be nothing. */
+  /** Returns at once, also when nothing has changed. */
   async watch<T> (kind: string, revision: number): Promise<Result<WatchBatch<T>, StoreError>> {
     return await this.call({ call: 'watch', kind, name: '' }, old => {
       const seen = old && revision < 0
-        ? { revision: -1, changed: this.objects.listAt(kind, '', '', Infinity, this.age - 1), deleted: [] }
+        ? { revision: -1, changed: this.objects.listAt(kind, '', '', Infinity, this.generation - 1), deleted: [] }
         : { revision: this.objects.revision, ...this.objects.changesSince(kind, revision) }
       return Ok(copy(seen) as WatchBatch<T>)
     })
