--- a/bench/policy-model.ts
+++ b/bench/policy-model.ts
@@ -49,7 +49,7 @@
 }
 
 const alone = merge(SEEDS.map(seed => runModel({ type: 'forward' }, 'nothing', seed))).batchTokens / (LENGTH * SEEDS.length)
-console.log(`batch alone: ${(alone * 1_000).toFixed(0)} tokens/s; readQuantiles p50, p95, p99, p99.9 in ms, in brackets over those without batch`)
+console.log(`batch alone: ${(alone * 1_000).toFixed(0)} tokens/s; quantiles p50, p95, p99, p99.9 in ms, in brackets over those without batch`)
 for (const workload of Object.keys(WORKLOADS) as Array<keyof typeof WORKLOADS>) {
   const runs = POLICIES.map(policy => merge(SEEDS.map(seed => runModel(policy, workload, seed))))
   const base = runs[0]!
