--- a/src/config/configuration-schema.ts
+++ b/src/config/configuration-schema.ts
@@ -77,7 +77,7 @@
   streamed: { type: 'boolean', default: false, doc: 'Whether its answers are streams of events.' },
   idempotent: { type: 'boolean', default: false, doc: 'Whether a request may run more than once.' },
   resumable: { type: 'boolean', default: false, doc: 'Whether a stream may continue at another server after the last relayed event.' },
-  attempts: { type: 'number', unit: 'servers', whole: true, min: 1, max: 100, default: 2, doc: 'Most servers that may be tried for one request.' },
+  attempts: { type: 'number', unit: 'servers', whole: true, min: 1, max: 100, default: 2, doc: 'Most servers that may run one request.' },
   timeout: { type: 'number', unit: 'ms', whole: false, min: 0, max: DAY, default: 0, doc: 'Longest time until the whole answer; 0 for no limit specific to the route.' },
   target: { type: 'number', unit: 'ms', whole: false, min: 1, max: DAY, default: SECOND, doc: 'Latency target for the answer, or for the first event of a stream.' },
   silence: { type: 'number', unit: 'ms', whole: false, min: 1, max: DAY, optional: true, doc: 'How long callers of a stream wait without an event before they disconnect; if omitted, only their own deadline applies.' },
--- a/src/config/route.ts
+++ b/src/config/route.ts
@@ -13,7 +13,7 @@
   readonly idempotent: boolean
   /** Whether a stream may continue at another server after the last relayed event. */
   readonly resumable: boolean
-  /** Most servers that may be tried for one request. */
+  /** Most servers that may run one request. */
   readonly attempts: number
   /** Longest time until the whole answer; 0 for no limit specific to the route. */
   readonly timeout: number
--- a/test/helpers/measure-membership.ts
+++ b/test/helpers/measure-membership.ts
@@ -1,6 +1,5 @@
-// Prints the traffic, CPU share and detection time of membership for each given number of members:
+// Prints the traffic, CPU share and detection time of membership per number of members; `--lost 63` stops 63 at once, not one:
 // npx tsx --tsconfig tsconfig.run.json test/helpers/measure-membership.ts 6 48 380
-// --lost 63 stops 63 members at once, as when a failure domain is lost, instead of one.
 import { parseArgs } from 'node:util'
 import { MemberSimulation } from './simulate-members.js'
 
--- a/test/report/report-whole.test.ts
+++ b/test/report/report-whole.test.ts
@@ -14,9 +14,8 @@
 const ITEMS = 20
 const TOKENS = 4
 
-// Requests and a job go through all daemons, one of which is killed afterwards with what it hasn't written. A manager's
-// report of the week must have every run of the engine's own log, but for as many as it says the killed daemon may have
-// had, and no more than were run.
+// Guards against a report that misses runs beyond those it declares as possibly lost with a killed daemon, or counts more than
+// were run.
 test('the weekly report equals the engine\'s log, and states what a killed daemon may have had', async t => {
   const fleet = await Fleet.start()
   t.teardown(async () => await fleet.stop())
--- a/test/store/platform-client.test.ts
+++ b/test/store/platform-client.test.ts
@@ -64,9 +64,8 @@
 })
 
 test('the outcome of a write stays true after all delayed writes have been applied', async t => {
-  // Three writers race on two objects, with lost replies, delayed writes and rate limits. A write reported as written must
-  // be in the store, and one refused as conflict, limited or unavailable must never take effect later, after its writer has
-  // abandoned it.
+  // Guards against a write that is reported as written but isn't stored, and against one that takes effect after it was
+  // refused as conflict, limited or unavailable.
   const step = fc.record({ writer: fc.nat(2), name: fc.constantFrom('a', 'b'), known: fc.nat(2), after: fc.integer({ min: 0, max: 400 }) })
   const faults: fc.Arbitrary<PlatformFaults> = fc.record({
     lostReplies: fc.constantFrom(0, 0.3, 0.6),
