--- a/bench/run-fault.ts
+++ b/bench/run-fault.ts
@@ -33,7 +33,7 @@
     const ended = new Promise<() => Promise<void>>((resolve, reject) => {
       setTimeout(() => { void beginFault(fleet, fault, since, before).then(resolve, reject) }, FAULT_AT)
     })
-    const outcomes = await runLoad(planArrivals(plan), { urls: () => book.urls, model: plan.model, sends: SENDS })
+    const outcomes = await runLoad(planArrivals(plan), { urls: () => book.urls, model: plan.model, maxAttempts: SENDS })
     await (await ended)()
     const after = await readEngineWork(fleet, since)
     return summarizeFault(fault.type, outcomes, before.runs + after.onlineRuns)
--- a/src/batch/create-object.ts
+++ b/src/batch/create-object.ts
@@ -2,7 +2,7 @@
 import type { ObjectStore } from '../store/object-store.js'
 import type { StoreError } from '../store/store-error.js'
 
-const MAX_TRIES = 3
+const MAX_ATTEMPTS = 3
 
 /**
  * Creates an object, or returns the existing one. A write whose outcome is unknown is repeated: if it took effect,
@@ -13,6 +13,6 @@
     const written = await store.put(kind, name, value, 0, 'caller')
     if (written.ok) return Ok(value)
     if (written.val.type === 'conflict') return (await store.get<T>(kind, name, 'caller')).map(object => object.value)
-    if (tries === MAX_TRIES || (written.val.type !== 'unavailable' && written.val.type !== 'unknown')) return written
+    if (tries === MAX_ATTEMPTS || (written.val.type !== 'unavailable' && written.val.type !== 'unknown')) return written
   }
 }
--- a/src/batch/held-chunk.ts
+++ b/src/batch/held-chunk.ts
@@ -122,7 +122,7 @@
     const released = new Promise<void>(resolve => this.releaseWaiters.push(resolve))
     this.queue.clear()
     if (abort) this.abort()
-    this.step()
+    this.flushOrRelease()
     await released
   }
 
@@ -142,9 +142,9 @@
   private async recordResult (item: number, result: ItemResult): Promise<void> {
     this.unrecorded.delete(item)
     const recorded = this.writer.add({ type: 'result', item, result })
-    this.step()
+    this.flushOrRelease()
     if ((await recorded).err) this.end()
-    else this.step()
+    else this.flushOrRelease()
   }
 
   private takeBack (pending: Pending, why: Parameters<BatchWork['giveBack']>[0], { ran, tokens, server }: Parameters<BatchWork['giveBack']>[1]): void {
@@ -161,7 +161,7 @@
   /** Removes the started mark of an item that is given back during the release, since it is known not to have run. */
   private takeBackWhileReleasing ({ item }: Pending): void {
     if (this.state === 'releasing' && this.options.items[item]!.idempotent === false) void this.writer.add({ type: 'not started', item })
-    this.step()
+    this.flushOrRelease()
   }
 
   private requeue (pending: Pending, pause: number): void {
@@ -177,7 +177,7 @@
    * Once no item runs: writes the results at once if every item has one, and otherwise releases the chunk if
    * requested.
    */
-  private step (): void {
+  private flushOrRelease (): void {
     if (this.state === 'ended' || this.running.size > 0) return
     if (this.unrecorded.size === 0) this.writer.flush()
     if (this.state === 'releasing' && this.unrecorded.size > 0) void this.releaseClaim()
--- a/src/batch/result-reader.ts
+++ b/src/batch/result-reader.ts
@@ -11,7 +11,7 @@
 import { readResults } from './read-results.js'
 import { showResult } from './show-result.js'
 
-const MAX_TRIES = 3
+const MAX_ATTEMPTS = 3
 /** ms between attempts to read a chunk. */
 const RETRY_PAUSE = 500
 
@@ -50,7 +50,7 @@
   }
 
   private async retry (read: () => Promise<string | undefined>): Promise<string> {
-    for (let tries = 0; tries < MAX_TRIES; tries++) {
+    for (let tries = 0; tries < MAX_ATTEMPTS; tries++) {
       const lines = await read()
       if (lines !== undefined) return lines
       await pauseFor(this.clock, RETRY_PAUSE)
--- a/src/batch/update-object.ts
+++ b/src/batch/update-object.ts
@@ -3,7 +3,7 @@
 import type { ObjectStore } from '../store/object-store.js'
 import type { StoreError } from '../store/store-error.js'
 
-const MAX_TRIES = 20
+const MAX_ATTEMPTS = 20
 
 interface UpdateOptions<T> {
   /** Returns the same value to leave the object unchanged. Called again after a conflict. */
@@ -13,7 +13,7 @@
 
 /** Applies a change until its conditional update succeeds, and returns the resulting value. */
 export async function updateObject<T> (store: ObjectStore, kind: string, name: string, { change, priority = 'background' }: UpdateOptions<T>): Promise<Result<T, StoreError>> {
-  for (let tries = 0; tries < MAX_TRIES; tries++) {
+  for (let tries = 0; tries < MAX_ATTEMPTS; tries++) {
     const read = await store.get<T>(kind, name, priority)
     if (read.err) return read
     const next = change(read.val.value)
--- a/src/entry/address-lookup.ts
+++ b/src/entry/address-lookup.ts
@@ -27,8 +27,8 @@
   private leaving = false
 
   constructor (
-    @inject(tokens.routedSettings) private readonly settings: RoutedSettings,
-    @inject(tokens.settings) private readonly own: Settings,
+    @inject(tokens.routedSettings) private readonly routed: RoutedSettings,
+    @inject(tokens.settings) private readonly settings: Settings,
     @inject(tokens.entryDialect) private readonly dialect: EntryDialect,
     @inject(ConfigurationHolder) private readonly configuration: ConfigurationHolder,
     @inject(FleetWatch) private readonly fleet: FleetWatch,
@@ -37,7 +37,7 @@
   ) {}
 
   async start (): Promise<void> {
-    const { readiness, addresses, metrics } = this.settings
+    const { readiness, addresses, metrics } = this.routed
     await this.serve(readiness, (req, res) => this.answerReadiness(req, res))
     await this.serve(addresses, (req, res) => this.answerAddresses(req, res))
     await this.serve(metrics, (_req, res) => { res.end(this.metrics.write()) })
@@ -80,16 +80,16 @@
   }
 
   private answerAddresses (req: IncomingMessage, res: ServerResponse): void {
-    const question = this.dialect.readAddressRequest(req)
-    if (question === undefined) return sendJson(res, NOT_FOUND, {})
+    const request = this.dialect.readAddressRequest(req)
+    if (request === undefined) return sendJson(res, NOT_FOUND, {})
     const open = this.members.all().filter(member => this.isOpen(member)).map(({ instance }) => `${instance.host}:${instance.port}`)
     if (open.length === 0) return sendJson(res, NOT_READY, {})
-    sendJson(res, 200, this.dialect.showAddresses(open, this.settings.addressKeep))
+    sendJson(res, 200, this.dialect.showAddresses(open, this.routed.addressKeep))
   }
 
   /** Whether callers may use the member: it has sent a message itself, is ready and isn't leaving. */
   private isOpen ({ instance, state, ready, run }: Member): boolean {
-    if (instance.name === this.own.instance) return this.isReady
+    if (instance.name === this.settings.instance) return this.isReady
     return run > 0 && ready && state === 'alive' && instance.port > 0
   }
 }
--- a/src/entry/entry-dialect.ts
+++ b/src/entry/entry-dialect.ts
@@ -10,9 +10,9 @@
   /** Without the query. */
   readonly path: string
   /** How long the caller will wait, ms; undefined where the request doesn't tell. */
-  readonly left: number | undefined
+  readonly timeLeft: number | undefined
   readonly resumeAfter: string | undefined
-  readonly key: string | undefined
+  readonly affinityKey: string | undefined
   /** Headers to be forwarded to the server. */
   readonly headers: Readonly<Record<string, string | readonly string[]>>
 }
--- a/src/entry/routed-entry.ts
+++ b/src/entry/routed-entry.ts
@@ -144,7 +144,7 @@
       return
     }
     if (route.jobs !== undefined) return await this.jobs.submit({ id: head.id, route, path: head.path, body: body.val, arrived }, res)
-    const left = Math.min(head.left ?? DEFAULT_DEADLINE, route.timeout > 0 ? route.timeout : Infinity)
+    const left = Math.min(head.timeLeft ?? DEFAULT_DEADLINE, route.timeout > 0 ? route.timeout : Infinity)
     const service = chooseService(route.services, this.forwarder.random)
     if (service === undefined) return sendRoutedRefusal(res, { cause: 'no server', ran: 'not run', retryAfter: NO_SERVICE_RETRY, detail: 'the route names no service' })
     await this.forwarder.forward({
@@ -155,9 +155,9 @@
       headers: head.headers,
       body: body.val.length === 0 ? undefined : body.val,
       resumeAfter: head.resumeAfter,
-      key: head.key,
+      key: head.affinityKey,
       arrived,
-      asked: arrived - this.estimateElapsed(route, head.left),
+      asked: arrived - this.estimateElapsed(route, head.timeLeft),
       deadline: arrived + left,
       signal: disconnected.signal
     }, service, new ResponseSink(res))
--- a/src/jobs/ended-job-watch.ts
+++ b/src/jobs/ended-job-watch.ts
@@ -18,7 +18,7 @@
  * unresponsive leader together stay below the age up to which a read lets items start (`MAX_READ_AGE` of `OwnedJob`).
  */
 const CHECK_PERIOD = 1_100
-const RETRY = 300
+const RETRY_DELAY = 300
 /** After this long without a successful read, ms, a job may have been ended and removed from the store meanwhile. */
 const MAX_READ_GAP = 10_000
 
@@ -85,7 +85,7 @@
     if (!this.failing) this.log.write('warn', 'jobs', 'could not look up whether jobs have ended', { error: type, jobs: jobs.length, age: Math.round(this.findReadAge()) })
     this.failing = true
     for (const job of jobs) job.lastRead = { ...job.lastRead, unreachable: type === 'unavailable' }
-    this.clock.after(RETRY, () => { void this.check() })
+    this.clock.after(RETRY_DELAY, () => { void this.check() })
   }
 
   /** Whether the job may have been ended and then removed from the store since the last read. */
--- a/src/jobs/job-adoption.ts
+++ b/src/jobs/job-adoption.ts
@@ -15,11 +15,11 @@
 
 const CHECK_PERIOD = 500
 /** Delay before reading the stored headers again after a failure, ms. */
-const RETRY = 300
+const RETRY_DELAY = 300
 /** How long after its start a daemon without any known members assumes that it is the only one, ms. */
 const ALONE_AFTER = 3_000
 /** Delay before another attempt to take over a job that could not be read, ms: the store is unavailable, or the items were never stored. */
-const ADOPT_RETRY = 1_000
+const ADOPT_RETRY_DELAY = 1_000
 /** Number of jobs that are taken over concurrently. */
 const MAX_CONCURRENT = 2
 /** Time between two publications of jobs without an owner, ms. */
@@ -65,7 +65,7 @@
         for (const [id, header] of headers.val) this.registry.addIfAbsent(readKnownJob(id, header, { stored: false }))
         return this.check()
       }
-      await pauseFor(this.clock, RETRY)
+      await pauseFor(this.clock, RETRY_DELAY)
     }
   }
 
@@ -96,7 +96,7 @@
   private async adopt (id: string): Promise<void> {
     if (this.clock.now() < (this.retryAt.get(id) ?? 0)) return
     const adopted = await this.owner.adopt(id)
-    if (adopted.err) this.retryAt.set(id, this.clock.now() + ADOPT_RETRY)
+    if (adopted.err) this.retryAt.set(id, this.clock.now() + ADOPT_RETRY_DELAY)
     else this.retryAt.delete(id)
   }
 
--- a/src/jobs/job-reader.ts
+++ b/src/jobs/job-reader.ts
@@ -26,10 +26,10 @@
 const MAX_CACHED = 100
 const MAX_WAIT = 1_000
 /** Attempts to make sure that a stored job runs, and the delay between two, ms: together longer than most outages of the store. */
-const RUN_TRIES = 120
+const RUN_ATTEMPTS = 120
 const RUN_PAUSE = 500
 /** Attempts to stop an ended job at its owner, and the delay between two, ms: by the last one, a daemon that takes the job over is known. */
-const STOP_TRIES = 10
+const STOP_ATTEMPTS = 10
 const STOP_PAUSE = 300
 
 type Failure = 'missing' | 'unsure'
@@ -81,14 +81,14 @@
     this.owner.end(job)
     const known = this.registry.get(job)
     if (known !== undefined && !known.closed) this.registry.publish({ ...known, closed: true })
-    for (let tries = 0; tries < STOP_TRIES; tries++) {
+    for (let tries = 0; tries < STOP_ATTEMPTS; tries++) {
       if (this.owner.find(job) !== undefined) return
       if (await this.askOwner(job, { type: 'end', job }, CALL_SLACK) !== undefined) {
         return this.log.write('info', 'jobs', 'the owner of an ended job confirmed that it stopped', { job, owner: this.registry.get(job)?.owner, tries })
       }
       await pauseFor(this.clock, STOP_PAUSE)
     }
-    this.log.write('warn', 'jobs', 'no owner of an ended job confirmed that it stopped', { job, owner: this.registry.get(job)?.owner, tries: STOP_TRIES })
+    this.log.write('warn', 'jobs', 'no owner of an ended job confirmed that it stopped', { job, owner: this.registry.get(job)?.owner, tries: STOP_ATTEMPTS })
   }
 
   /**
@@ -96,7 +96,7 @@
    * since a single failed read of the header would otherwise leave a confirmed job that no daemon runs.
    */
   async ensureRunning (job: string): Promise<void> {
-    for (let tries = 0; tries < RUN_TRIES && !await this.tryEnsureRunning(job); tries++) await pauseFor(this.clock, RUN_PAUSE)
+    for (let tries = 0; tries < RUN_ATTEMPTS && !await this.tryEnsureRunning(job); tries++) await pauseFor(this.clock, RUN_PAUSE)
   }
 
   /** Returns true where a daemon runs the job or will take it over because its owner has ended, and where the job no longer exists. */
@@ -161,7 +161,7 @@
       if (this.cached.size > MAX_CACHED) this.cached.delete(this.cached.keys().next().value!)
     }
     if (job.isDone) return Ok(job)
-    const from = job.segments
+    const from = job.segmentCount
     const segments = await this.records.readSegments(id, from)
     if (segments.err) return Err('unsure')
     segments.val.forEach((results, i) => job.addSegment(from + i, results))
--- a/src/jobs/job-request-handler.ts
+++ b/src/jobs/job-request-handler.ts
@@ -126,11 +126,11 @@
   }
 
   private fits ({ host, pathPrefix, jobs }: Route, size: number): boolean {
-    const most = jobs?.maxWaitingTokens ?? 0
-    if (most === 0) return true
+    const limit = jobs?.maxWaitingTokens ?? 0
+    if (limit === 0) return true
     const isOn = (job: { readonly host: string, readonly path: string }): boolean => job.host === host && job.path.startsWith(pathPrefix)
     const accepting = [...this.accepting.values()].reduce((sum, job) => sum + (isOn(job) ? job.tokens : 0), 0)
-    return this.registry.countWaitingTokens(isOn) + accepting + size <= most
+    return this.registry.countWaitingTokens(isOn) + accepting + size <= limit
   }
 
   /** Whether the job may have been accepted before by a daemon that hasn't published it yet; true unless the store returns that it is missing. */
--- a/src/jobs/owned-job.ts
+++ b/src/jobs/owned-job.ts
@@ -47,7 +47,7 @@
   /** Results still to be stored. */
   readonly pending: ListedResult[] = []
   /** Number of stored segments. */
-  segments: number
+  segmentCount: number
   private readonly results: ListedResult[]
   private readonly listed: Set<string>
   private readonly listeners = new Set<() => void>()
@@ -58,7 +58,7 @@
     this.acceptedAt = acceptedAt
     this.formerOwner = formerOwner
     this.lastRead = { seen: readAt, unreachable: false }
-    this.segments = segments.length
+    this.segmentCount = segments.length
     this.results = segments.flat()
     this.listed = new Set(this.results.map(result => result.id))
     this.items = items.map(item => ({ item, last: undefined, texts: [], failures: 0, losses: 0, notBefore: 0, phase: this.listed.has(item.id) ? 'ended' : 'waiting' }))
@@ -111,8 +111,8 @@
    * that was added before is ignored, since two reads may overlap.
    */
   addSegment (segment: number, results: readonly ListedResult[]): void {
-    if (segment !== this.segments) return
-    this.segments++
+    if (segment !== this.segmentCount) return
+    this.segmentCount++
     for (const result of results) {
       this.results.push(result)
       this.listed.add(result.id)
--- a/src/jobs/result-writer.ts
+++ b/src/jobs/result-writer.ts
@@ -9,7 +9,7 @@
 /** Minimum time between two segments of a job, ms. Each segment costs a write, and callers poll about twice a second. */
 const STORE_PERIOD = 400
 /** Delay before the next write after a failed one, ms. */
-const RETRY = 300
+const RETRY_DELAY = 300
 /** Maximum bytes of results in one segment. */
 const SEGMENT_BYTES = 500_000
 
@@ -38,14 +38,14 @@
     if (pause > 0 && !isLast && !isDraining()) await pauseFor(clock, pause)
     job.storedAt = clock.now()
     const stored = await this.storeSegment(job)
-    if (!stored) await pauseFor(clock, RETRY)
+    if (!stored) await pauseFor(clock, RETRY_DELAY)
     job.isStoring = false
     if (isOwned(job)) void this.store(job)
   }
 
   /** Adds stored results of the job that are missing here; returns false where the store fails. */
   async readNew (job: OwnedJob): Promise<boolean> {
-    const from = job.segments
+    const from = job.segmentCount
     const segments = await this.options.records.readSegments(job.id, from)
     if (segments.err) return false
     segments.val.forEach((results, i) => this.addSegment(job, from + i, results))
@@ -55,10 +55,10 @@
   private async storeSegment (job: OwnedJob): Promise<boolean> {
     const { records, log } = this.options
     const [results = []] = splitBySize(job.pending, ({ text }) => text.length, SEGMENT_BYTES)
-    const { segments } = job
-    const created = await records.createSegment(job.id, segments, results)
-    if (created.ok) this.addSegment(job, segments, results)
-    else if (created.val.type === 'conflict') return await this.addStoredSegment(job, segments)
+    const { segmentCount } = job
+    const created = await records.createSegment(job.id, segmentCount, results)
+    if (created.ok) this.addSegment(job, segmentCount, results)
+    else if (created.val.type === 'conflict') return await this.addStoredSegment(job, segmentCount)
     else log.write('warn', 'jobs', 'could not store results, will retry', { job: job.id, error: created.val.type, waiting: job.pending.length })
     return created.ok
   }
--- a/src/load/run-load.ts
+++ b/src/load/run-load.ts
@@ -12,7 +12,7 @@
   readonly urls: () => readonly string[]
   readonly model: string
   /** Most attempts for one request; above 1, callers retry after any outcome but `answered`. */
-  readonly sends?: number
+  readonly maxAttempts?: number
 }
 
 /**
@@ -40,14 +40,14 @@
 }
 
 /** Sends a request until it is answered or its attempts are used up; returns the last outcome, with times from the first attempt. */
-async function sendUntilAnswered (arrival: Arrival, turn: number, { urls, model, sends = 1 }: LoadOptions, dispatcher: Dispatcher): Promise<LoadOutcome> {
+async function sendUntilAnswered (arrival: Arrival, turn: number, { urls, model, maxAttempts = 1 }: LoadOptions, dispatcher: Dispatcher): Promise<LoadOutcome> {
   const start = performance.now()
-  for (let send = 1; ; send++) {
+  for (let attempt = 1; ; attempt++) {
     const addresses = urls()
-    const outcome = await sendArrival(arrival, { url: addresses[(turn + send) % addresses.length]!, model, dispatcher })
+    const outcome = await sendArrival(arrival, { url: addresses[(turn + attempt) % addresses.length]!, model, dispatcher })
     const before = performance.now() - start - outcome.total
-    const wholeOutcome = { ...outcome, sends: send, total: outcome.total + before, ...(outcome.firstToken === undefined ? {} : { firstToken: outcome.firstToken + before }) }
-    if (outcome.outcome === 'answered' || send >= sends) return wholeOutcome
+    const wholeOutcome = { ...outcome, sends: attempt, total: outcome.total + before, ...(outcome.firstToken === undefined ? {} : { firstToken: outcome.firstToken + before }) }
+    if (outcome.outcome === 'answered' || attempt >= maxAttempts) return wholeOutcome
     await new Promise(resolve => setTimeout(resolve, (outcome.retryAfter ?? 0) * MS_PER_SECOND))
   }
 }
--- a/src/store/platform-client.ts
+++ b/src/store/platform-client.ts
@@ -19,9 +19,9 @@
 
 const CALL_TIMEOUT = 2_000
 const WATCH_SLACK = 1_000
-const MAX_SENDS = 3
+const MAX_ATTEMPTS = 3
 /** Attempts for a caller's write under `callerTimeout`, which doubles with each. */
-const MAX_CALLER_SENDS = 4
+const MAX_CALLER_ATTEMPTS = 4
 const RESEND_PAUSE = 100
 const CONFLICT = 409
 const REDIRECTION = 300
@@ -146,14 +146,14 @@
   private async sendWrite (call: ApiCall, priority: CallPriority): Promise<{ readonly answer: ApiAnswer, readonly lost: boolean }> {
     let lost = false
     const shortTimeout = priority === 'caller' ? this.callerTimeout : undefined
-    const isRelayed = (send: number): boolean | undefined => shortTimeout !== undefined && send % 2 === 0 ? true : undefined
-    for (let sends = 1; ; sends++) {
-      const answer = await this.gate.send(call, priority, shortTimeout === undefined ? CALL_TIMEOUT : shortTimeout * 2 ** (sends - 1), { relayed: isRelayed(sends) })
+    const isRelayed = (attempt: number): boolean | undefined => shortTimeout !== undefined && attempt % 2 === 0 ? true : undefined
+    for (let attempt = 1; ; attempt++) {
+      const answer = await this.gate.send(call, priority, shortTimeout === undefined ? CALL_TIMEOUT : shortTimeout * 2 ** (attempt - 1), { relayed: isRelayed(attempt) })
       const mustResend = answer.type === 'no answer' || (lost && answer.type !== 'answered')
       if (!mustResend) return { answer, lost }
       lost = true
-      const isLast = sends >= (shortTimeout === undefined ? MAX_SENDS : MAX_CALLER_SENDS)
-      if (isLast || (this.gate.isOut && isRelayed(sends + 1) === undefined)) return { answer, lost }
+      const isLast = attempt >= (shortTimeout === undefined ? MAX_ATTEMPTS : MAX_CALLER_ATTEMPTS)
+      if (isLast || (this.gate.isOut && isRelayed(attempt + 1) === undefined)) return { answer, lost }
       if (shortTimeout === undefined) await this.pause()
     }
   }
--- a/test/adapter/entry-dialect.test.ts
+++ b/test/adapter/entry-dialect.test.ts
@@ -11,8 +11,8 @@
     'x-request-id': 'r', 'x-deadline-ms': '4200', 'last-event-id': '7', 'x-prompt-prefix': '5c:800,91:410', 'x-model': 'm', connection: 'keep-alive, x-hop', 'x-hop': '1', 'content-length': '3', te: 'trailers'
   }))
   t.deepEqual(head, { id: 'r', host: 'desk.example', path: '/p/1', left: 4_200, resumeAfter: '7', key: '5c', headers: { host: 'Desk.example', 'x-model': 'm', 'x-prompt-prefix': '5c:800,91:410' } })
-  t.is(entryDialect.readHead(createRequest('/', { 'x-deadline-ms': 'soon' })).left, undefined)
-  t.is(entryDialect.readHead(createRequest('/', { 'x-prompt-prefix': '91:410' })).key, undefined)
+  t.is(entryDialect.readHead(createRequest('/', { 'x-deadline-ms': 'soon' })).timeLeft, undefined)
+  t.is(entryDialect.readHead(createRequest('/', { 'x-prompt-prefix': '91:410' })).affinityKey, undefined)
 })
 
 const calls: ReadonlyArray<readonly [string, string, unknown]> = [
