--- a/test/batch/cancel-frozen.test.ts
+++ b/test/batch/cancel-frozen.test.ts
@@ -8,13 +8,13 @@
 test('a job cancelled while a holder is frozen: the holder starts no item after it resumes', async t => {
   const running = await startJob(t)
   const { fleet, holder } = running
-  const frozen = fleet.daemons[holder]!
+  const paused = fleet.daemons[holder]!
   const other = (holder + 1) % 3
-  t.teardown(() => frozen.child.signal('SIGKILL'))
-  frozen.child.signal('SIGSTOP')
+  t.teardown(() => paused.child.signal('SIGKILL'))
+  paused.child.signal('SIGSTOP')
   await createClient(fleet, other).batches.cancel(running.job)
   const acknowledged = Date.now()
   await fleet.waitUntil(async () => Date.now() > acknowledged + BOUND)
-  frozen.child.signal('SIGCONT')
+  paused.child.signal('SIGCONT')
   await checkStopped(t, running, other, acknowledged)
 })
--- a/test/batch/frozen-start.test.ts
+++ b/test/batch/frozen-start.test.ts
@@ -12,7 +12,7 @@
 import { Simulation } from './helpers/simulation.js'
 
 const BODY = '{"text":"whole"}'
-const FROZEN = 6_000
+const PAUSE = 6_000
 
 interface Bench { readonly simulation: Simulation, readonly bench: DispatchBench, readonly server: RawServer, readonly take: () => BatchWork }
 
@@ -43,9 +43,9 @@
     canResume: false,
     onTokens: () => {}
   })
-  const frozen = run().run()
-  simulation.clock.freeze(FROZEN)
-  t.deepEqual(await frozen, { type: 'withheld' })
+  const started = run().run()
+  simulation.clock.pause(PAUSE)
+  t.deepEqual(await started, { type: 'withheld' })
   t.is(server.requests.length, 0)
   await simulation.run(1)
   t.is((await run().run()).type, 'finished')
@@ -59,9 +59,9 @@
   const configuration = bench.container.resolve(ConfigurationHolder)
   configuration.offer({ ...configuration.value, version: 2, services: { drafts: { kind: 'model', pool: 'pool', model: 'model', idempotent: true } } })
   const run = async (): Promise<void> => await bench.container.resolve(DispatchedItemRunner).run(take())
-  const frozen = run()
-  simulation.clock.freeze(FROZEN)
-  await frozen
+  const started = run()
+  simulation.clock.pause(PAUSE)
+  await started
   t.is(server.requests.length, 0)
   await simulation.run(1)
   await run()
--- a/test/batch/helpers/freezable-clock.ts
+++ b/test/batch/helpers/daemon-clock.ts
@@ -4,14 +4,14 @@
  * The clock of one daemon in a simulation. While it is frozen the daemon's timers don't run; those that became due
  * run at the thaw.
  */
-export class FreezableClock implements Clock {
-  private thaw?: () => void
-  private thawed: Promise<void> = Promise.resolve()
+export class DaemonClock implements Clock {
+  private resolveResumed?: () => void
+  private resumed: Promise<void> = Promise.resolve()
 
   constructor (private readonly shared: Clock, private readonly shift: { readonly ms: number }) {}
 
-  get frozen (): boolean {
-    return this.thaw !== undefined
+  get isPaused (): boolean {
+    return this.resolveResumed !== undefined
   }
 
   now (): number {
@@ -24,7 +24,7 @@
 
   after (delay: number, task: () => void): () => void {
     let cancelled = false
-    const cancel = this.shared.after(delay, () => { void this.runThawed(() => cancelled || task()) })
+    const cancel = this.shared.after(delay, () => { void this.runResumed(() => cancelled || task()) })
     return () => {
       cancelled = true
       cancel()
@@ -32,25 +32,25 @@
   }
 
   every (period: number, task: () => void): () => void {
-    return this.shared.every(period, () => { if (!this.frozen) task() })
+    return this.shared.every(period, () => { if (!this.isPaused) task() })
   }
 
-  freeze (): void {
-    if (!this.frozen) this.thawed = new Promise(resolve => { this.thaw = resolve })
+  pause (): void {
+    if (!this.isPaused) this.resumed = new Promise(resolve => { this.resolveResumed = resolve })
   }
 
   resume (): void {
-    this.thaw?.()
-    this.thaw = undefined
+    this.resolveResumed?.()
+    this.resolveResumed = undefined
   }
 
   /** Resolves at once, or at the thaw if the clock is frozen. */
-  async waitThawed (): Promise<void> {
-    while (this.frozen) await this.thawed
+  async waitResumed (): Promise<void> {
+    while (this.isPaused) await this.resumed
   }
 
-  private async runThawed (task: () => void): Promise<void> {
-    await this.waitThawed()
+  private async runResumed (task: () => void): Promise<void> {
+    await this.waitResumed()
     task()
   }
 }
--- a/test/batch/helpers/faulty-store.ts
+++ b/test/batch/helpers/faulty-store.ts
@@ -4,7 +4,7 @@
 import type { StoreError } from '../../../src/store/store-error.js'
 import type { StoredObject } from '../../../src/store/stored-object.js'
 import type { WatchBatch } from '../../../src/store/watch-batch.js'
-import type { FreezableClock } from './freezable-clock.js'
+import type { DaemonClock } from './daemon-clock.js'
 
 /**
  * One daemon's access to the shared store: calls are held up while the daemon is frozen, and some reads return old
@@ -20,7 +20,7 @@
   /** Duration of each call in ms. */
   delay = 0
 
-  constructor (private readonly shared: MemoryStore, private readonly clock: FreezableClock) {}
+  constructor (private readonly shared: MemoryStore, private readonly clock: DaemonClock) {}
 
   async get<T> (kind: string, name: string): Promise<Result<StoredObject<T>, StoreError>> {
     const key = `${kind}/${name}`
@@ -56,11 +56,11 @@
   }
 
   private async pass<T> (call: () => Promise<Result<T, StoreError>>): Promise<Result<T, StoreError>> {
-    await this.clock.waitThawed()
+    await this.clock.waitResumed()
     if (this.clock.now() < this.cutUntil) return Err({ type: 'unavailable', reason: 'cut off' })
     const answer = await call()
     if (this.delay > 0) await new Promise<void>(resolve => this.clock.after(this.delay, resolve))
-    await this.clock.waitThawed()
+    await this.clock.waitResumed()
     return answer
   }
 }
--- a/test/batch/helpers/simulated-daemon.ts
+++ b/test/batch/helpers/simulated-daemon.ts
@@ -29,7 +29,7 @@
 import type { PeerMessage } from '../../../src/peers/peer-message.js'
 import type { MemoryStore } from '../../../stand-ins/platform/memory-store.js'
 import type { VirtualClock } from '../../helpers/virtual-clock.js'
-import { FreezableClock } from './freezable-clock.js'
+import { DaemonClock } from './daemon-clock.js'
 import { FaultyStore } from './faulty-store.js'
 
 const SERVICE = 'drafts'
@@ -58,7 +58,7 @@
 
 /** The batch components of one daemon on a shared store, with a simulated runner of items in place of the servers. */
 export class SimulatedDaemon {
-  readonly clock: FreezableClock
+  readonly clock: DaemonClock
   readonly store: FaultyStore
   readonly account = new Account()
   readonly files: FileStore
@@ -77,7 +77,7 @@
 
   constructor (readonly name: string, private readonly options: SimulatedDaemonOptions) {
     this.slots = options.slots ?? 4
-    this.clock = new FreezableClock(options.clock, options.shift)
+    this.clock = new DaemonClock(options.clock, options.shift)
     this.store = new FaultyStore(options.store, this.clock)
     const settings = { instance: name, dataFolder: options.dataFolder } as ConstructorParameters<typeof HoldingRecord>[2]
     const timeline = new Timeline(this.clock, settings)
@@ -115,7 +115,7 @@
   }
 
   private fill (): void {
-    while (this.running < this.slots && !this.clock.frozen) {
+    while (this.running < this.slots && !this.clock.isPaused) {
       const work = this.source.take(SERVICE)
       if (work === undefined) return
       this.run(work)
--- a/test/batch/helpers/simulation.ts
+++ b/test/batch/helpers/simulation.ts
@@ -70,7 +70,7 @@
       }
       case 'pause': {
         const { clock } = this.daemons[event.daemon]!
-        clock.freeze()
+        clock.pause()
         this.clock.after(event.length * SECOND, () => this.daemons[event.daemon]!.clock === clock && !this.dead.has(`entry-${event.daemon}`) && clock.resume())
         return
       }
@@ -82,7 +82,7 @@
   }
 
   kill (daemon: number): void {
-    this.daemons[daemon]!.clock.freeze()
+    this.daemons[daemon]!.clock.pause()
     this.dead.add(`entry-${daemon}`)
   }
 }
--- a/test/batch/job-watch.test.ts
+++ b/test/batch/job-watch.test.ts
@@ -23,7 +23,7 @@
   await clock.advance(100)
   t.true(watch.mayStart(JOB))
   void watch.check(JOB)
-  clock.freeze(6_000)
+  clock.pause(6_000)
   pauses.check()
   answers.shift()!(inProgress)
   await clock.advance(0)
--- a/test/batch/paused-holder.test.ts
+++ b/test/batch/paused-holder.test.ts
@@ -17,10 +17,10 @@
   const readChunk = async (n: number): Promise<any> => (await fleet.control('GET', `/objects/chunk/${encodeURIComponent(`${job.id}.${n}`)}`).catch(() => undefined))?.value
   await fleet.waitUntil(async () => await countFinished() > 5 && (await readChunk(0))?.holder !== undefined)
   const holder = (await readChunk(0)).holder.instance as string
-  const frozen = fleet.daemons.find(({ instance }) => instance.name === holder)!
-  t.teardown(() => frozen.child.signal('SIGKILL'))
-  frozen.child.signal('SIGSTOP')
-  fleet.daemons.splice(fleet.daemons.indexOf(frozen), 1)
+  const paused = fleet.daemons.find(({ instance }) => instance.name === holder)!
+  t.teardown(() => paused.child.signal('SIGKILL'))
+  paused.child.signal('SIGSTOP')
+  fleet.daemons.splice(fleet.daemons.indexOf(paused), 1)
 
   const seen = new Map<string, string>()
   const read = async (daemon: number): Promise<void> => {
@@ -38,7 +38,7 @@
   })
   await read(0)
   const before = seen.size
-  frozen.child.signal('SIGCONT')
+  paused.child.signal('SIGCONT')
   let known = 0
   await fleet.waitUntil(async () => {
     const { status } = await createClient(fleet, 0).batches.retrieve(job.id)
--- a/test/batch/takeover.test.ts
+++ b/test/batch/takeover.test.ts
@@ -51,7 +51,7 @@
     await simulation.clock.advance(1_000)
     const other = simulation.daemons.findIndex(({ name }) => name !== simulation.runs[0]!.daemon)
     const { clock, name } = simulation.daemons[1 - other]!
-    clock.freeze()
+    clock.pause()
     simulation.daemons[other]!.store.delay = call
     await simulation.clock.advance(freedAt)
     const timeline = new Timeline(simulation.clock, { instance: 'test' } as ConstructorParameters<typeof Timeline>[1])
--- a/test/config/configuration-writer.test.ts
+++ b/test/config/configuration-writer.test.ts
@@ -110,7 +110,7 @@
   const first = await accept(apply(0, { 'a.yaml': write(500) }))
   const [old] = manifest().packs
   const second = await accept(apply(first, { 'a.yaml': write(600) }))
-  clock.freeze(DAY)
+  clock.pause(DAY)
   const reverted = new Promise<ApplyOutcome>(resolve => {
     store.beforeDelete = async () => {
       store.beforeDelete = async () => {}
@@ -122,7 +122,7 @@
   await clock.advance(1)
   t.deepEqual(manifest().packs, [old])
   t.truthy(store.objects.read('configuration-pack', old!))
-  clock.freeze(2 * DAY)
+  clock.pause(2 * DAY)
   await accept(apply((await reverted as { version: number }).version, { 'a.yaml': write(800) }))
   await clock.advance(1)
   t.deepEqual(store.objects.list('configuration-pack', '', '', 9).map(({ name }) => name).sort(), [...manifest().packs, old!].sort())
--- a/test/coordination/lease.test.ts
+++ b/test/coordination/lease.test.ts
@@ -39,7 +39,7 @@
   const { clock, a, b } = setUp()
   await a.take()
   await b.take()
-  clock.freeze(LAPSE)
+  clock.pause(LAPSE)
   t.true((await b.take()).ok)
   t.false(a.check())
   t.deepEqual((await a.renew()).val, { type: 'lost' })
@@ -70,7 +70,7 @@
       const fencing = lease.fencing ?? highest
       if (fencing < highest) return false
       highest = fencing
-      clock.freeze(wait)
+      clock.pause(wait)
     }
     return true
   }), { numRuns: 300, seed: 7 })
--- a/test/entry/keyed-index.test.ts
+++ b/test/entry/keyed-index.test.ts
@@ -26,7 +26,7 @@
   }
   await clock.advance(MINUTE)
   t.is(store.objects.list('keyed-day', '', '', 10).length, 2)
-  clock.freeze(2 * DAY)
+  clock.pause(2 * DAY)
   await claim('again', store.objects.read('keyed', 'again')!.version)
   store.calls.length = 0
   await clock.advance(15 * MINUTE)
--- a/test/entry/keyed-requests.test.ts
+++ b/test/entry/keyed-requests.test.ts
@@ -148,7 +148,7 @@
   const fleet = new KeyedFleet()
   const [a, b] = [fleet.create('a'), fleet.create('b')]
   fleet.store.fault = ({ call }) => {
-    if (call === 'put') fleet.clock.freeze(60_000)
+    if (call === 'put') fleet.clock.pause(60_000)
     return 'none'
   }
   t.is(await fleet.ask(a), 'refused')
--- a/test/helpers/virtual-clock.ts
+++ b/test/helpers/virtual-clock.ts
@@ -38,7 +38,7 @@
   }
 
   /** Jumps ahead without running timers, as a process sees it that was paused. */
-  freeze (time: number): void {
+  pause (time: number): void {
     this.time += time
   }
 
--- a/test/jobs/ended-job-lookup.test.ts
+++ b/test/jobs/ended-job-lookup.test.ts
@@ -99,7 +99,7 @@
   const reading = find(LEADER)
   await clock.advance(50)
   await records.end(JOB)
-  clock.freeze(20_000)
+  clock.pause(20_000)
   pauses.check()
   t.deepEqual((await advanceUntil(clock, reading)).unwrap().ended, [JOB])
 })
@@ -113,7 +113,7 @@
   const lookup = new EndedJobLookup(records, { all: () => [] }, { send: () => {} }, new PauseWatch(suspended), { instance: 'd1', failureDomain: 'z' }, suspended)
   t.deepEqual(await lookup.find([JOB]), Ok({ ended: [], readAt: 0 }))
   await records.end(JOB)
-  clock.freeze(20_000)
+  clock.pause(20_000)
   missed = 20_000
   t.deepEqual((await lookup.find([JOB])).unwrap().ended, [JOB])
 })
--- a/test/kernel/periodic-tasks.test.ts
+++ b/test/kernel/periodic-tasks.test.ts
@@ -40,7 +40,7 @@
   const tasks = new PeriodicTasks(clock)
   let runs = 0
   tasks.add(100, () => { runs++ })
-  clock.freeze(1_050)
+  clock.pause(1_050)
   await clock.advance(10)
   t.is(runs, 1)
   await clock.advance(100)
--- a/test/observe/loop-delay.test.ts
+++ b/test/observe/loop-delay.test.ts
@@ -21,7 +21,7 @@
 test('a loop that stood still is late by what it missed, once', async t => {
   const { clock, metrics, readLongest } = await createDelay()
   await clock.advance(1_000)
-  clock.freeze(400)
+  clock.pause(400)
   await clock.advance(1_000)
   t.is(readLongest(), 150)
   t.true(Math.abs(metrics.quantile('loop_delay_ms', 100) - 150) < 2)
@@ -30,7 +30,7 @@
 test('the longest delay is shown for 15 s at least and 30 s at most', async t => {
   const { clock, readLongest } = await createDelay()
   await clock.advance(14_000)
-  clock.freeze(500)
+  clock.pause(500)
   await clock.advance(15_000)
   t.is(readLongest(), 250)
   await clock.advance(16_000)
--- a/test/ownership/last-tokens.test.ts
+++ b/test/ownership/last-tokens.test.ts
@@ -79,7 +79,7 @@
 test('a delayed event loop reads arrived data before it closes a run', async t => {
   const { clock, socket, runner, outcome } = await start(t)
   const drained = runner.drain()
-  clock.freeze(600)
+  clock.pause(600)
   await clock.advance(0)
   socket.end(HEAD + formatToken('one') + formatToken(' two', 'stop') + 'data: [DONE]\n\n')
   await drained
--- a/test/store/call-gate.test.ts
+++ b/test/store/call-gate.test.ts
@@ -17,7 +17,7 @@
   const gate = new CallGate(transport, { clock, random: new Random(1), metrics: new Metrics() })
   const calls = [gate.send(CALL, 'background', TIMEOUT), gate.send(CALL, 'background', TIMEOUT)]
   await clock.advance(0)
-  clock.freeze(time)
+  clock.pause(time)
   for (const end of ends) end({ type: 'no answer', reason: 'timeout' })
   await Promise.all(calls)
   gate.close()
