--- a/src/batch/chunk.ts
+++ b/src/batch/chunk.ts
@@ -9,7 +9,7 @@
  * conflict.
  */
 export interface Chunk {
-  /** The run of a daemon that holds the chunk; absent if it is free. */
+  /** The daemon process that holds the chunk; absent if it is free. */
   readonly holder?: Incarnation
   readonly results: Readonly<Record<string, ItemResult>>
   /** Results that were moved to objects of their own to keep this one small. */
--- a/src/batch/count-chunk.ts
+++ b/src/batch/count-chunk.ts
@@ -7,7 +7,7 @@
 interface CountedChunk { readonly caller: string, readonly service: string, readonly chunk: Chunk }
 
 /**
- * Counts each recorded result of a closed chunk for the account. Called only by the run of a daemon that closed the
+ * Counts each recorded result of a closed chunk for the account. Called only by the daemon process that closed the
  * chunk, so that each result is counted once even if several daemons have recorded some.
  */
 export async function countChunk (store: ObjectStore, account: Account, { caller, service, chunk }: CountedChunk): Promise<void> {
--- a/src/batch/held-chunk.ts
+++ b/src/batch/held-chunk.ts
@@ -28,7 +28,7 @@
   readonly by: Incarnation
   readonly store: ObjectStore
   readonly clock: Clock
-  /** Whether items of the job may start now; detects a pause of the process first. */
+  /** Whether items of the job may start now; checks for a pause of the process first. */
   readonly mayStart: () => boolean
   /** Called when items have become ready. */
   readonly onReady: () => void
--- a/src/batch/is-holder.ts
+++ b/src/batch/is-holder.ts
@@ -1,7 +1,7 @@
 import type { Incarnation } from '../kernel/incarnation.js'
 import type { Chunk } from './chunk.js'
 
-/** Returns whether this run of a daemon holds the chunk; an earlier run on the same instance doesn't count. */
+/** Returns whether this daemon process holds the chunk; an earlier process on the same instance doesn't count. */
 export function isHolder ({ holder }: Chunk, { instance, started }: Incarnation): boolean {
   return holder?.instance === instance && holder.started === started
 }
--- a/src/batch/job-outcomes.ts
+++ b/src/batch/job-outcomes.ts
@@ -13,7 +13,7 @@
 
 /**
  * Counts each ended job once for the account, by its caller and first service: on time, late or cancelled. The write
- * that ends a job stores the run of the daemon that made it, and only that run counts the job. Otherwise a lost reply
+ * that ends a job stores the daemon process that made it, and only that process counts the job. Otherwise a lost reply
  * would leave open whose write took effect, and the job could be counted twice or not at all.
  */
 @scoped(Lifecycle.ContainerScoped)
@@ -28,14 +28,14 @@
   ) {}
 
   /**
-   * Returns the job with the counts of closed chunks added. If the job ends with them, `endedBy` is set to this run.
+   * Returns the job with the counts of closed chunks added. If the job ends with them, `endedBy` is set to this process.
    */
   apply (job: Job, closed: ReadonlyMap<number, Counts>): Job {
     const next = finishChunks(job, closed, this.clock.date())
     return next.ended === undefined || job.ended !== undefined ? next : { ...next, endedBy: this.holding.incarnation }
   }
 
-  /** Counts the job if it has ended by this run. Expects the job as it is stored. */
+  /** Counts the job if this process ended it. Expects the job as it is stored. */
   count ({ id, caller, services, status, due, ended, endedBy }: Job): void {
     const { instance, started } = this.holding.incarnation
     if (ended === undefined || endedBy?.instance !== instance || endedBy.started !== started || this.counted.has(id)) return
--- a/src/batch/job.ts
+++ b/src/batch/job.ts
@@ -20,7 +20,7 @@
   readonly finished: Readonly<Record<string, Counts>>
   /** Wall-clock ms at which its last item ended. */
   readonly ended?: number
-  /** The run of a daemon that recorded the end of the job, and counts the job for the account. */
+  /** The daemon process that recorded the end of the job, and counts the job for the account. */
   readonly endedBy?: { readonly instance: string, readonly started: number }
   /** Wall-clock ms at which its results were first read completely. */
   readonly read?: number
--- a/src/batch/result-spool.ts
+++ b/src/batch/result-spool.ts
@@ -26,7 +26,7 @@
 
 /**
  * Writes results to disk, where the instance has one, while the platform is unavailable. Otherwise a daemon that is
- * replaced during an outage would lose them, and their items would run again; with the file, its next run records
+ * replaced during an outage would lose them, and their items would run again; with the file, its next process records
  * them. The first recorded result wins, so a file that is read late, or twice, does no harm.
  */
 @scoped(Lifecycle.ContainerScoped)
@@ -60,7 +60,7 @@
     this.cancelTimer()
   }
 
-  /** Records the results that the previous run left, retrying until all are stored, and only then starts to spool. */
+  /** Records the results that the previous process left, retrying until all are stored, and only then starts to spool. */
   private async recover (entries: readonly SpoolEntry[]): Promise<void> {
     for (const entry of entries) while (!await this.record(entry)) await this.wait()
     if (entries.length > 0) this.log.write('info', 'batch', 'recorded results from the spool file', { results: entries.length })
--- a/src/config/settings-schema.ts
+++ b/src/config/settings-schema.ts
@@ -36,7 +36,7 @@
   instance: { type: 'text', minLength: 1, maxLength: 100, doc: 'Name of this instance, unique in the fleet.' },
   failureDomain: { type: 'text', minLength: 1, maxLength: 100, doc: 'Failure domain of the instance.' },
   region: { type: 'text', minLength: 1, maxLength: 100, doc: 'Region of the instance.' },
-  listen: { type: 'object', keys: listen, doc: 'Addresses that the daemon listens on.' },
+  listen: { type: 'object', keys: listen, doc: 'Address and ports that the daemon listens on.' },
   address: { type: 'text', minLength: 1, optional: true, doc: 'Address at which callers and other daemons reach this instance; `listen.host` if omitted.' },
   platform: { type: 'text', pattern: PLATFORM_URL, doc: 'Base address of the platform\'s object API.' },
   peerKey: { type: 'text', minLength: MIN_SECRET_LENGTH, doc: 'Secret shared by all daemons, with which they authenticate each other.' },
--- a/src/http/is-address-gone.ts
+++ b/src/http/is-address-gone.ts
@@ -11,7 +11,7 @@
 interface ProbedAddress {
   readonly host: string
   readonly port: number
-  /** A request that a live process answers. Left out, the process only has to keep the connection open. */
+  /** A request that a live process answers. If omitted, the process only has to keep the connection open. */
   readonly probe?: string
 }
 
--- a/src/kernel/incarnation.ts
+++ b/src/kernel/incarnation.ts
@@ -1,4 +1,4 @@
-/** Identifies one run of a daemon. Of two runs of the same instance the later one has the greater `started`. */
+/** Identifies one process of a daemon. Of two processes of the same instance the later one has the greater `started`. */
 export interface Incarnation {
   readonly instance: string
   /** Wall-clock ms at which the process started. */
--- a/src/kernel/seed.ts
+++ b/src/kernel/seed.ts
@@ -1,4 +1,4 @@
-/** A daemon that another one contacts when it starts while the platform is out. */
+/** A daemon that another one contacts when it starts while the platform is unavailable. */
 export interface Seed {
   readonly name: string
   readonly host: string
--- a/src/kernel/settings.ts
+++ b/src/kernel/settings.ts
@@ -31,7 +31,7 @@
     /** Whether batch items with long prompts are paced for the type `preempting`. */
     readonly longPrompts?: 'paced' | 'at once'
   }
-  /** Daemons to contact when this one starts while the platform is out. */
+  /** Daemons to contact when this one starts while the platform is unavailable. */
   readonly seeds?: readonly Seed[]
   readonly log: { readonly level: 'error' | 'warn' | 'info' | 'debug', readonly format: 'text' | 'json' }
 }
--- a/src/store/call-gate.ts
+++ b/src/store/call-gate.ts
@@ -33,7 +33,7 @@
 
 type Relay = (call: ApiCall, timeout: number) => Promise<ApiAnswer | undefined>
 
-/** Sends calls to the platform within the budget, and refuses them at once while the platform is out. */
+/** Sends calls to the platform within the budget, and refuses them at once while the platform is unavailable. */
 export class CallGate {
   private readonly budgets = { reads: new CallBudget(READ_BUDGET), writes: new CallBudget(WRITE_BUDGET) }
   private readonly circuit: Circuit
@@ -56,7 +56,7 @@
     for (const [call, budget] of Object.entries(this.budgets)) metrics.gauge('platform_call_rate', () => budget.getRate(clock.now()), { call })
   }
 
-  /** Whether the platform is considered out. */
+  /** Whether the platform is considered unavailable. */
   get isOut (): boolean {
     return this.circuit.open
   }
@@ -72,7 +72,7 @@
   }
 
   /**
-   * Sends a call. A caller's call goes through the relay, if there is one, while the platform is out for this daemon or
+   * Sends a call. A caller's call goes through the relay, if there is one, while the platform is unavailable to this daemon or
    * where `relayed` is true; it is sent directly where the relay has no answer.
    */
   async send (call: ApiCall, priority: CallPriority, timeout: number, { relayed = this.isOut }: { readonly relayed?: boolean } = {}): Promise<ApiAnswer> {
--- a/src/store/instance-list-relay.ts
+++ b/src/store/instance-list-relay.ts
@@ -25,8 +25,8 @@
  * Distributes the platform's instance list to daemons that don't read it themselves: each sends the digest of its list to
  * a reader of its failure domain, which returns its own list if that differs.
  *
- * A daemon without a list asks any other daemon, so that one that starts while the platform is out has backend servers to
- * send requests to.
+ * A daemon without a list asks any other daemon, so that one that starts while the platform is unavailable has backend
+ * servers to send requests to.
  */
 @scoped(Lifecycle.ContainerScoped)
 export class InstanceListRelay implements Part {
--- a/src/store/platform-client.ts
+++ b/src/store/platform-client.ts
@@ -31,7 +31,7 @@
   readonly random?: Random
   readonly metrics?: Metrics
   /**
-   * First timeout of a caller's write, ms, which doubles with each attempt; a caller's read begins with twice this. Left out,
+   * First timeout of a caller's write, ms, which doubles with each attempt; a caller's read begins with twice this. If omitted,
    * all calls have the same timeout. For callers with short deadlines, whose time a lost reply would use up otherwise. A
    * store that is slower than this gets calls again that it would have answered.
    */
--- a/test/batch/cancel-frozen.test.ts
+++ b/test/batch/cancel-frozen.test.ts
@@ -3,9 +3,9 @@
 import { BOUND, checkStopped, startJob } from './helpers/running-job.js'
 import { createClient } from './helpers/process-fleet.js'
 
-// A frozen holder misses the cancellation and resumes with items ready to run. It must check the job again before it
+// A paused holder misses the cancellation and resumes with items ready to run. It must check the job again before it
 // starts any.
-test('a job cancelled while a holder is frozen: the holder starts no item after it resumes', async t => {
+test('a job cancelled while a holder is paused: the holder starts no item after it resumes', async t => {
   const running = await startJob(t)
   const { fleet, holder } = running
   const paused = fleet.daemons[holder]!
--- a/test/batch/frozen-start.test.ts
+++ b/test/batch/frozen-start.test.ts
@@ -30,9 +30,9 @@
   return { simulation, bench, server, take: () => simulation.daemons[0]!.source.take('drafts')! }
 }
 
-// The connection is established while the process is frozen. Guards against sending the request at the thaw before
+// The connection is established while the process is paused. Guards against sending the request on resumption before
 // the job has been checked again.
-test('an item that waits for its connection while the holder is frozen is not sent at the thaw', async t => {
+test('an item that waits for its connection while the holder is paused is not sent when it resumes', async t => {
   const { simulation, bench, server, take } = await start(t)
   const run = (): BatchRun => new BatchRun({
     work: take(),
--- a/test/batch/helpers/daemon-clock.ts
+++ b/test/batch/helpers/daemon-clock.ts
@@ -1,8 +1,8 @@
 import type { Clock } from '../../../src/kernel/clock.js'
 
 /**
- * The clock of one daemon in a simulation. While it is frozen the daemon's timers don't run; those that became due
- * run at the thaw.
+ * The clock of one daemon in a simulation. While it is paused the daemon's timers don't run; those that became due
+ * run on resumption.
  */
 export class DaemonClock implements Clock {
   private resolveResumed?: () => void
@@ -44,7 +44,7 @@
     this.resolveResumed = undefined
   }
 
-  /** Resolves at once, or at the thaw if the clock is frozen. */
+  /** Resolves at once, or on resumption if the clock is paused. */
   async waitResumed (): Promise<void> {
     while (this.isPaused) await this.resumed
   }
--- a/test/batch/helpers/faulty-store.ts
+++ b/test/batch/helpers/faulty-store.ts
@@ -7,7 +7,7 @@
 import type { DaemonClock } from './daemon-clock.js'
 
 /**
- * One daemon's access to the shared store: calls are held up while the daemon is frozen, and some reads return old
+ * One daemon's access to the shared store: calls are held up while the daemon is paused, and some reads return old
  * versions.
  */
 export class FaultyStore implements ObjectStore {
--- a/test/batch/job-watch.test.ts
+++ b/test/batch/job-watch.test.ts
@@ -9,7 +9,7 @@
 
 const JOB = 'job-1'
 
-// The job is cancelled while the holder is frozen during a read. Guards against the old result, followed by a failed
+// The job is cancelled while the holder is paused during a read. Guards against the old result, followed by a failed
 // read, passing for the beginning of an outage, in which items may start for 60 s.
 test('a read from before a pause, followed by one that fails, allows no starts', async t => {
   const clock = new VirtualClock()
--- a/test/batch/paused-holder.test.ts
+++ b/test/batch/paused-holder.test.ts
@@ -5,7 +5,7 @@
 const COUNT = 400
 const TOKENS = 120
 
-// The other daemons take over the chunk of a frozen holder and run its items again. Guards against results that
+// The other daemons take over the chunk of a paused holder and run its items again. Guards against results that
 // change when the holder resumes and records its own.
 test('a holder that resumes after its chunk was taken over changes no result', async t => {
   const fleet = await startFleet()
@@ -49,6 +49,6 @@
   })
   await read(0)
   await read(1)
-  t.log(`${before} results read before the thaw, ${await countFinished()} runs ended for ${COUNT} items`)
+  t.log(`${before} results read before it resumed, ${await countFinished()} runs ended for ${COUNT} items`)
   t.is(seen.size, COUNT)
 })
