--- a/test/report/build-report.test.ts
+++ b/test/report/build-report.test.ts
@@ -33,8 +33,8 @@
   })
 }
 
-// A manager adds the lines of any table of the report up and must come to its total, which must be what was counted.
-test('days, callers, teams and services each add up to the period, and each thing is in it once', t => {
+// Guards against tables whose lines don't add up to their total, and totals that differ from what was counted.
+test('days, callers, teams and services each add up to the period, and nothing is counted twice or left out', t => {
   t.notThrows(() => fc.assert(fc.property(fc.array(counted, { maxLength: 60 }), all => {
     const { now } = buildReport({ days: buildDays(all), before: [], callers: CALLERS })
     for (const { name, read } of columns) {
@@ -68,7 +68,7 @@
 
 const had = fc.record({ share: fc.integer({ min: 1, max: 9 }), got: fc.nat(1_000), waited: fc.boolean() })
 
-test('what callers are entitled to adds up to what was given, and nobody who had all it asked for is shorted', t => {
+test('entitlements add up to the server time used, and a caller that got all it requested is entitled to no more', t => {
   t.notThrows(() => fc.assert(fc.property(fc.array(had, { minLength: 1, maxLength: 8 }), all => {
     const entitled = splitEntitlements(all)
     const given = all.reduce((sum, { got }) => sum + got, 0)
