--- a/test/observe/loop-delay.test.ts
+++ b/test/observe/loop-delay.test.ts
@@ -21,7 +21,7 @@
 test('a blocked event loop is recorded as one delay of the time that it missed', async t => {
   const { clock, metrics, readLongest } = await createDelay()
   await clock.advance(1_000)
-  clock.freeze(400)
+  clock.pause(400)
   await clock.advance(1_000)
   t.is(readLongest(), 150)
   t.true(Math.abs(metrics.quantile('loop_delay_ms', 100) - 150) < 2)
@@ -30,7 +30,7 @@
 test('the longest delay is reported for 15 to 30 s', async t => {
   const { clock, readLongest } = await createDelay()
   await clock.advance(14_000)
-  clock.freeze(500)
+  clock.pause(500)
   await clock.advance(15_000)
   t.is(readLongest(), 250)
   await clock.advance(16_000)
