--- a/src/fleet/change-publisher.ts
+++ b/src/fleet/change-publisher.ts
@@ -64,7 +64,7 @@
 
   /** Requests from a daemon the changes that this one is missing. */
   requestMissing (name: string): void {
-    const have = Object.fromEntries([...this.options.mirrors].map(([kind, { completeRevision: complete }]) => [kind, complete]))
+    const have = Object.fromEntries([...this.options.mirrors].map(([kind, { completeRevision }]) => [kind, completeRevision]))
     this.options.links.send(name, { type: 'fleet ask', have })
   }
 
--- a/src/placement/choose-server.ts
+++ b/src/placement/choose-candidate.ts
@@ -22,7 +22,7 @@
  * whose counts are a few ms old don't all pick the same one. With no free slot, a server that runs this daemon's own batch is
  * preferred: a local item is stopped at once, an item of another daemon only after a message to it.
  */
-export function chooseServer (candidates: readonly CandidateServer[], { random, key, avoided = [] }: ChooseOptions): CandidateServer | undefined {
+export function chooseCandidate (candidates: readonly CandidateServer[], { random, key, avoided = [] }: ChooseOptions): CandidateServer | undefined {
   const withOnlineRoom = candidates.filter(({ slots, online }) => online < slots)
   const preferred = withOnlineRoom.filter(({ server }) => !avoided.includes(server))
   const open = preferred.length > 0 ? preferred : withOnlineRoom
--- a/src/placement/slot-queue.ts
+++ b/src/placement/slot-queue.ts
@@ -3,7 +3,7 @@
 import type { Random } from '../kernel/random.js'
 import type { Metrics } from '../observe/metrics.js'
 import type { CandidateServer } from './candidate-server.js'
-import { chooseServer } from './choose-server.js'
+import { chooseCandidate } from './choose-candidate.js'
 import { compareWaiting } from './compare-waiting.js'
 import { isLate } from './is-late.js'
 import { LateLimiter } from './late-limiter.js'
@@ -155,7 +155,7 @@
   }
 
   private choose ({ key, avoided }: PlacementRequest, candidates: readonly CandidateServer[]): CandidateServer | undefined {
-    return chooseServer(candidates, { random: this.options.random, key, avoided })
+    return chooseCandidate(candidates, { random: this.options.random, key, avoided })
   }
 
   private grantFree (): void {
--- a/test/placement/choose-server.test.ts
+++ b/test/placement/choose-candidate.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava'
 import { Random } from '../../src/kernel/random.js'
 import type { CandidateServer } from '../../src/placement/candidate-server.js'
-import { chooseServer } from '../../src/placement/choose-server.js'
+import { chooseCandidate } from '../../src/placement/choose-candidate.js'
 
 function createCandidate (server: string, online: number, batch = 0, ownBatch = 0): CandidateServer {
   return { server, failureDomain: 'a', slots: 8, online, batch, ownBatch }
@@ -21,20 +21,20 @@
 ]
 
 for (const { name, candidates, avoided, chosen } of cases) {
-  test(name, t => { t.is(chooseServer(candidates, { random: new Random(1), avoided })?.server, chosen) })
+  test(name, t => { t.is(chooseCandidate(candidates, { random: new Random(1), avoided })?.server, chosen) })
 }
 
 test('requests with the same key use one server while it has room', t => {
   const candidates = ['s1', 's2', 's3', 's4'].map(server => createCandidate(server, 0))
-  const first = chooseServer(candidates, { random: new Random(1), key: 'prompt' })!.server
-  for (let seed = 2; seed < 20; seed++) t.is(chooseServer(candidates, { random: new Random(seed), key: 'prompt' })!.server, first)
+  const first = chooseCandidate(candidates, { random: new Random(1), key: 'prompt' })!.server
+  for (let seed = 2; seed < 20; seed++) t.is(chooseCandidate(candidates, { random: new Random(seed), key: 'prompt' })!.server, first)
   const filled = candidates.map(candidate => candidate.server === first ? { ...candidate, online: 6 } : candidate)
-  t.not(chooseServer(filled, { random: new Random(1), key: 'prompt' })!.server, first)
+  t.not(chooseCandidate(filled, { random: new Random(1), key: 'prompt' })!.server, first)
 })
 
 // Guards against daemons with the same outdated counts that all place their requests on one server.
 test('daemons with the same counts choose different servers', t => {
   const candidates = ['s1', 's2', 's3', 's4', 's5', 's6', 's7', 's8'].map(server => createCandidate(server, 3))
-  const chosen = new Set(Array.from({ length: 24 }, (_, seed) => chooseServer(candidates, { random: new Random(seed) })!.server))
+  const chosen = new Set(Array.from({ length: 24 }, (_, seed) => chooseCandidate(candidates, { random: new Random(seed) })!.server))
   t.true(chosen.size >= 6)
 })
