--- a/test/admission/account-fold.test.ts
+++ b/test/admission/account-fold.test.ts
@@ -72,9 +72,8 @@
   'loses one reply': (n: number, write: number) => write === n ? { loseReply: UNKNOWN } : 'none'
 } as const
 
-// A run is paused for an hour while its part is folded, and the folding daemon ends or loses a reply at any of its writes. The
-// run continues, counts more and writes; then another daemon continues the fold. Each count must be in the account once at any
-// time: rows of shards that name the part are taken from the day only.
+// A part is folded while its run is paused, and the folding daemon fails at any of its writes. When the run resumes and another
+// daemon completes the fold, no count may be lost or counted twice.
 for (const [name, fault] of Object.entries(ENDS)) {
   for (let n = 0; n < 8; n++) {
     test(`a folding daemon ${name}, ${n}: the continuing run is counted once`, async t => {
--- a/test/admission/account-reported.test.ts
+++ b/test/admission/account-reported.test.ts
@@ -57,9 +57,8 @@
   }
 }
 
-// A daemon is queried for its unflushed counts. Before the platform is read, it counts more, flushes, ends its day or its part,
-// and is folded. The account must hold no count twice and, unless it lists a run as incomplete, all that the daemon had counted
-// when it was queried.
+// Counts that a daemon reports, and flushes or folds before the platform is read, must not be counted twice. None may be missing
+// unless the account lists a run as incomplete.
 test('what is flushed between query and read is counted once', async t => {
   await t.notThrowsAsync(async () => await fc.assert(fc.asyncProperty(fc.array(step, { maxLength: 15 }), fc.array(step, { maxLength: 8 }), fc.array(step, { maxLength: 4 }), async (before, during, later) => {
     const run = new Run()
--- a/test/admission/account-whole.test.ts
+++ b/test/admission/account-whole.test.ts
@@ -9,9 +9,8 @@
 const REQUESTS = 25
 const TOKENS = 4
 
-// While every daemon runs, the one asked collects the unflushed counts of all, and the figures equal the engine's own log. Then
-// one daemon is killed with unflushed counts, another one ends gracefully, and the third is asked again. What is missing
-// against the engine's log must be what the killed daemon held, and no more than the account states.
+// The account must equal the engine's log while every daemon runs. After one is killed, only its unflushed counts may be missing,
+// and no more than the account states.
 test('the account equals the engine\'s log, except for a stated bound on what a killed daemon held', async t => {
   const fleet = await Fleet.start()
   t.teardown(async () => await fleet.stop())
--- a/test/admission/overload.test.ts
+++ b/test/admission/overload.test.ts
@@ -1,9 +1,8 @@
 import test from 'ava'
 import { runOverload } from '../../bench/run-overload.js'
 
-// Callers send twice the capacity of the servers and don't slow down. Without a limit on waiting, all requests would wait, time
-// out and run in vain; instead, those that can't be served are refused on arrival, with retry times that differ. Latency and
-// goodput depend on the machine and are checked by `npm run bench -- --suite overload --check`.
+// Without a limit on waiting, all requests would wait, time out and run in vain. Latency and goodput depend on the machine and are
+// checked by `npm run bench -- --suite overload --check`.
 test('at twice the capacity, requests that can\'t be served are refused as not run, with different retry times', async t => {
   const { peak, goodput, refusedWithin, refusals } = await runOverload()
   t.log({ peak, goodput, refusedWithin, refusals: refusals.length })
--- a/test/admission/pool-shares.test.ts
+++ b/test/admission/pool-shares.test.ts
@@ -74,9 +74,8 @@
   t.is(daemons.shares.get('a')!.getFactor(POOL, 'x'), 1)
 })
 
-// Callers of equal shares, one through two daemons and one through the third. Any of the daemons is paused for three seconds,
-// including the one that splits the pool, and remains a member. If allocations became even meanwhile, the first caller would
-// get two thirds.
+// Two callers of equal shares, one through two daemons. If allocations became even while a daemon is paused, that caller would get
+// two thirds.
 test('pausing a daemon for seconds does not change the allocations', async t => {
   const busy = { a: { caller: 'x', rate: 400, waits: true }, b: { caller: 'y', rate: 200, waits: true }, c: { caller: 'y', rate: 200, waits: true } }
   for (const paused of Object.keys(busy)) {
--- a/test/admission/split-pool.test.ts
+++ b/test/admission/split-pool.test.ts
@@ -16,9 +16,8 @@
 const all = (slots: number) => () => slots / DAEMONS.length
 const through = (daemon: number, slots: number) => (i: number) => i === daemon ? slots : 0
 
-// A caller within its share briefly needs more than its part. Lending is too slow for that: the slots are lent to the daemon of
-// the heavy caller, which learns 200 ms later that they are needed. Callers that demand too much cede some of theirs, and
-// borrow them back.
+// Slots lent to the daemon of a heavy caller return too late for a short burst of a caller within its share. Callers that demand
+// more than their share therefore cede some of it, and borrow it back.
 const CASES: Readonly<Record<string, { readonly asks: Asks, readonly slots: readonly number[] }>> = {
   'one demands ten times its share, and cedes half of it': { asks: { heavy: through(0, 160), a: all(12), b: all(12) }, slots: [14.67, 6.67, 6.67, 6.67, 6.67, 6.67] },
   'one demands a little more than its share, and cedes the excess': { asks: { heavy: through(0, 18), a: all(12), b: all(12) }, slots: [19.67, 5.67, 5.67, 5.67, 5.67, 5.67] },
--- a/test/coordination/region-partition.test.ts
+++ b/test/coordination/region-partition.test.ts
@@ -7,9 +7,8 @@
 
 const isSorted = (versions: readonly number[]): boolean => versions.every((version, i) => i === 0 || version > versions[i - 1]!)
 
-// The link between two regions fails for five minutes, while operators change the configuration through the north,
-// which alone reaches the store. After the link heals, the south must catch up and both must find each other again,
-// without flooding the store or the network.
+// The configuration changes while one of two regions is cut off from the store. After the partition heals, that region must catch
+// up without flooding the store or the network.
 test('two regions partitioned for five minutes keep serving, revert nothing, and soon agree again', t => {
   const simulation = new RegionSimulation(SIZE, 60)
   const { members } = simulation
--- a/test/ownership/claim.test.ts
+++ b/test/ownership/claim.test.ts
@@ -87,9 +87,8 @@
 }
 
 for (const checksFencing of [true, false]) {
-  // A daemon that was frozen past its proof, or whose replies were lost, may order after another daemon has claimed the
-  // server. Its order must not take effect after the newer owner's: a server that checks fencing refuses it, and
-  // otherwise the newer owner waits until it can't arrive any more.
+  // A previous owner that was frozen or lost replies may still send orders: none may take effect after the newer owner's, even at a
+  // server that ignores fencing numbers.
   test(`orders take effect in the order of their fencing numbers, fencing ${checksFencing ? 'checked' : 'ignored'}`, t => {
     let orders = 0
     fc.assert(fc.property(fc.array(step, { minLength: 80, maxLength: 200, size: 'max' }), steps => {
--- a/test/ownership/leaving.test.ts
+++ b/test/ownership/leaving.test.ts
@@ -9,9 +9,8 @@
 const ITEMS = 200
 const NAMES = ['by list', 'by order', 'staying'] as const
 
-// A server leaves by the platform's list and another by an operator's order, while online requests and batch streams
-// run on them. No run may start there after the bound, or it would be cut when the server is taken away, and runs in
-// flight must finish.
+// A server leaves by the platform's list, another by an operator's order. A run that starts there after the bound would be cut off
+// when the server is removed.
 test('a leaving server gets no new work after the bound, and its runs finish', async t => {
   const fleet = await Fleet.start()
   t.teardown(async () => await fleet.stop())
--- a/test/ownership/paused-owner.test.ts
+++ b/test/ownership/paused-owner.test.ts
@@ -5,9 +5,8 @@
 
 const LATER = 1_500
 
-// A daemon that owns servers is paused while operators change the placement and other daemons take over and order it.
-// When it resumes, with its old configuration and claims, its orders must not revert the change, neither at servers
-// that check fencing numbers nor at those that ignore them.
+// An owner that resumes with its old configuration and claims must not revert a placement that others changed while it was paused,
+// whether or not servers check fencing numbers.
 for (const checksFencing of [true, false]) {
   test(`an owner that was paused doesn't restore an old placement, fencing ${checksFencing ? 'checked' : 'ignored'}`, async t => {
     const fleet = await Fleet.start()
--- a/test/peers/regions-partitioned.test.ts
+++ b/test/peers/regions-partitioned.test.ts
@@ -6,9 +6,8 @@
 
 const REGIONS = ['region-1', 'region-2', 'region-1', 'region-2']
 
-// The network between two regions is partitioned: open connections carry nothing, and new ones get no answer. Each region
-// considers the daemons of the other dead; callers of both are served, and an operator of one changes the configuration. When
-// the partition heals, all daemons see each other and use the new version.
+// While two regions are partitioned, each must go on serving its callers. After the partition heals, all daemons must see each other
+// and use the configuration that one region's operator applied meanwhile.
 test('two regions are partitioned and rejoin, over processes', async t => {
   const fleet = await Fleet.start({ canPartition: true })
   t.teardown(async () => await fleet.stop())
