--- a/src/admission/account-reader.ts
+++ b/src/admission/account-reader.ts
@@ -38,8 +38,8 @@
     if (read.err || days === undefined) {
       return { ...this.readOwn(since, until), mayMiss: { asked: 0, runs: [] }, whole: false, silent: answered.unresponsive }
     }
-    const { parts, fresh } = mergeReported(Object.fromEntries(read.val.map(({ name, value }) => [name, value])), days, answered.parts)
-    return { ...mergeAccount({ parts, days, fresh, since, until, caller }), silent: answered.unresponsive }
+    const { parts, completeParts } = mergeReported(Object.fromEntries(read.val.map(({ name, value }) => [name, value])), days, answered.parts)
+    return { ...mergeAccount({ parts, days, completeParts, since, until, caller }), silent: answered.unresponsive }
   }
 
   /** Unflushed counts are of today or, shortly after midnight, of yesterday. */
--- a/src/admission/add-counts.ts
+++ b/src/admission/add-account-counts.ts
@@ -3,7 +3,7 @@
 import { noCounts } from './no-counts.js'
 
 /** Returns the sum of the counts of two rows; with `sign` -1 their difference. */
-export function addCounts (first: Partial<AccountCounts> = {}, second: Partial<AccountCounts> = {}, sign: 1 | -1 = 1): AccountCounts {
+export function addAccountCounts (first: Partial<AccountCounts> = {}, second: Partial<AccountCounts> = {}, sign: 1 | -1 = 1): AccountCounts {
   const [a, b] = [{ ...noCounts, ...first }, { ...noCounts, ...second }]
   return {
     asked: a.asked + sign * b.asked,
--- a/src/admission/busy-shares.ts
+++ b/src/admission/busy-shares.ts
@@ -15,10 +15,10 @@
  */
 export class BusyShares {
   private usage = new Map<string, Usage>()
-  private begin: number
+  private minuteStart: number
 
   constructor (now: number) {
-    this.begin = now
+    this.minuteStart = now
   }
 
   /** Records that a request held a slot for `time` ms. */
@@ -33,9 +33,9 @@
 
   /** Returns the usage of each caller in a minute that has ended; empty before its end, or if no request waited. */
   take (now: number): readonly Entitlement[] {
-    if (now < this.begin + MINUTE) return []
+    if (now < this.minuteStart + MINUTE) return []
     const usages = [...this.usage.values()]
-    this.begin = now
+    this.minuteStart = now
     this.usage = new Map()
     if (!usages.some(({ waited }) => waited)) return []
     const entitled = splitEntitlements(usages)
--- a/src/admission/demand-meter.ts
+++ b/src/admission/demand-meter.ts
@@ -15,10 +15,10 @@
   private readonly callers = new Map<string, CallerDemand>()
 
   count (caller: string, share: number): void {
-    const asked = this.callers.get(caller) ?? { share, count: 0, rate: 0, waiting: 0 }
-    asked.count++
-    asked.share = share
-    this.callers.set(caller, asked)
+    const demand = this.callers.get(caller) ?? { share, count: 0, rate: 0, waiting: 0 }
+    demand.count++
+    demand.share = share
+    this.callers.set(caller, demand)
   }
 
   /**
@@ -27,11 +27,11 @@
    * sends its next request only after an answer never requests more than it is given.
    */
   read (period: number, holdTime: number, waiting: ReadonlyMap<string, number> = new Map()): PoolDemand {
-    for (const [caller, asked] of this.callers) {
-      asked.rate += (asked.count / period - asked.rate) * SMOOTHING
-      asked.waiting += ((waiting.get(caller) ?? 0) - asked.waiting) * SMOOTHING
-      asked.count = 0
-      if (asked.rate * holdTime + asked.waiting < MIN_SLOTS) this.callers.delete(caller)
+    for (const [caller, demand] of this.callers) {
+      demand.rate += (demand.count / period - demand.rate) * SMOOTHING
+      demand.waiting += ((waiting.get(caller) ?? 0) - demand.waiting) * SMOOTHING
+      demand.count = 0
+      if (demand.rate * holdTime + demand.waiting < MIN_SLOTS) this.callers.delete(caller)
     }
     const all = [...this.callers].map(([caller, { share, rate, waiting }]) => ({ caller, share, slots: rate * holdTime + waiting }))
     all.sort((a, b) => b.slots - a.slots)
--- a/src/admission/merge-account.ts
+++ b/src/admission/merge-account.ts
@@ -13,7 +13,7 @@
   readonly parts: Readonly<Record<string, AccountPart>>
   readonly days: readonly AccountDay[]
   /** Names of open parts that lack nothing, because their runs have just reported their counts. */
-  readonly fresh?: ReadonlySet<string>
+  readonly completeParts?: ReadonlySet<string>
   /** First and last day to count, as YYYY-MM-DD. */
   readonly since?: string
   readonly until?: string
@@ -21,7 +21,7 @@
 }
 
 /** Adds up parts and days, each part once: a part that is being folded is in both, shard by shard. */
-export function mergeAccount ({ parts, days, fresh = new Set(), since = '', until = '9', caller }: MergeOptions): MergedAccount {
+export function mergeAccount ({ parts, days, completeParts = new Set(), since = '', until = '9', caller }: MergeOptions): MergedAccount {
   const counted = days.filter(({ day }) => day >= since && day <= until)
   const open = Object.entries(parts).filter(([, { day }]) => day >= since && day <= until)
   const rows = counted.map(day => day.rows)
@@ -35,7 +35,7 @@
     const isFolded = folded.has(findShard(name))
     if (!isFolded) times = addTimes(times, part.times)
     // If other daemons have closed the part, its day already includes the bound.
-    const missed = fresh.has(name) || (isFolded && part.closed) ? 0 : estimateMissing(part, gap)
+    const missed = completeParts.has(name) || (isFolded && part.closed) ? 0 : estimateMissing(part, gap)
     if (missed === 0) continue
     missing.push(missed)
     runs.push(name)
--- a/src/admission/merge-reported.ts
+++ b/src/admission/merge-reported.ts
@@ -7,7 +7,7 @@
   /** The stored parts, replaced by reported ones where these are newer. */
   readonly parts: Parts
   /** Parts that lack nothing. */
-  readonly fresh: ReadonlySet<string>
+  readonly completeParts: ReadonlySet<string>
 }
 
 /**
@@ -22,15 +22,15 @@
 export function mergeReported (read: Parts, days: readonly AccountDay[], reported: Parts): MergedParts {
   const folded = new Set(days.flatMap(day => day.folded))
   const parts: Record<string, AccountPart> = { ...read }
-  const fresh = new Set<string>()
+  const completeParts = new Set<string>()
   for (const [name, part] of Object.entries(reported)) {
     const known = read[name]
-    if (known !== undefined && known.sample >= part.sample) fresh.add(name)
+    if (known !== undefined && known.sample >= part.sample) completeParts.add(name)
     else if (known?.closed === true || folded.has(name)) parts[name] = { ...(known ?? { ...part, rows: {}, times: {} }), closed: false }
     else {
       parts[name] = { ...part, rows: { ...known?.rows, ...part.rows }, times: { ...known?.times, ...part.times } }
-      fresh.add(name)
+      completeParts.add(name)
     }
   }
-  return { parts, fresh }
+  return { parts, completeParts }
 }
--- a/src/admission/pool-queue.ts
+++ b/src/admission/pool-queue.ts
@@ -22,7 +22,7 @@
 
 interface PoolQueueOptions {
   /** Maximum number of waiting requests. */
-  readonly capacity?: number
+  readonly maxWaiting?: number
   /** Longest wait, ms. */
   readonly longestWait: () => number
 }
@@ -74,7 +74,7 @@
     const ahead = this.state.waiting.findIndex(other => other.id === id)
     const wait = this.estimateWait(ahead + 1)
     if (wait > Math.min(this.options.longestWait(), waiting.deadline - now)) this.refuse(id, 'overloaded')
-    else if (this.size > (this.options.capacity ?? 256)) this.refuse(this.state.waiting.at(-1)!.id, 'overloaded')
+    else if (this.size > (this.options.maxWaiting ?? 256)) this.refuse(this.state.waiting.at(-1)!.id, 'overloaded')
     return () => this.drop(id)
   }
 
--- a/src/coordination/rank-owners.ts
+++ b/src/coordination/rank-owners.ts
@@ -1,7 +1,7 @@
 import { createHash } from 'node:crypto'
 
 /**
- * Returns `candidates` in the order in which they should own `thing`, by rendezvous (highest random weight) hashing.
+ * Returns `candidates` in the order in which they should own `key`, by rendezvous (highest random weight) hashing.
  * All who have the same candidates agree without communication; when one leaves, only what it owned moves. The result
  * is a preference, not an exclusive right: combine it with a conditional update.
  *
@@ -10,13 +10,13 @@
  * @example
  * rankOwners('engine-4', ['entry-0', 'entry-1', 'entry-2'])[0] // the owner
  */
-export function rankOwners (thing: string, candidates: readonly string[]): readonly string[] {
+export function rankOwners (key: string, candidates: readonly string[]): readonly string[] {
   return candidates
-    .map(name => ({ name, weight: weigh(thing, name) }))
+    .map(name => ({ name, weight: weigh(key, name) }))
     .sort((a, b) => b.weight - a.weight || (a.name < b.name ? -1 : 1))
     .map(({ name }) => name)
 }
 
-function weigh (thing: string, candidate: string): number {
-  return createHash('sha256').update(`${candidate}\0${thing}`).digest().readUIntBE(0, 6)
+function weigh (key: string, candidate: string): number {
+  return createHash('sha256').update(`${candidate}\0${key}`).digest().readUIntBE(0, 6)
 }
--- a/src/fleet/change-publisher.ts
+++ b/src/fleet/change-publisher.ts
@@ -39,7 +39,7 @@
    * at once, its daemons still rely on these and would otherwise use outdated state until they notice.
    */
   relay (notice: ChangeNotice, received: WatchBatch<unknown>, from: string): void {
-    const domainMembers = this.listDomainMembers()
+    const domainMembers = this.listOwnDomain()
     if (isSmallFleet(this.options.members.all()) || domainMembers.includes(from)) return
     if (this.getMirror(notice.kind).completeRevision >= received.revision) this.send(domainMembers, notice)
     else this.sendAll(domainMembers, { type: 'fleet news', kind: notice.kind, batch: { ...received, after: undefined }, sure: notice.sure, hold: notice.hold })
@@ -81,7 +81,7 @@
     for (const name of names) if (name !== this.options.settings.instance) this.options.links.send(name, message)
   }
 
-  private listDomainMembers (): readonly string[] {
+  private listOwnDomain (): readonly string[] {
     return this.options.members.all().filter(({ instance }) => instance.failureDomain === this.options.settings.failureDomain).map(({ instance }) => instance.name)
   }
 
--- a/src/jobs/job-runner.ts
+++ b/src/jobs/job-runner.ts
@@ -132,7 +132,7 @@
     if (first === undefined) return false
     const pool = chooseService(first.route.services, this.random)
     const { due, remaining } = first
-    if (pool !== undefined) this.slots.askBatch(pool, { count: Math.min(SLOTS_PER_REQUEST, waiting.length), due, remaining })
+    if (pool !== undefined) this.slots.requestBatchSlots(pool, { count: Math.min(SLOTS_PER_REQUEST, waiting.length), due, remaining })
     return true
   }
 
--- a/src/ownership/batch-runner.ts
+++ b/src/ownership/batch-runner.ts
@@ -52,7 +52,7 @@
     @inject(Sender) private readonly sender: Sender,
     @inject(ServedModels) private readonly models: ServedModels,
     @inject(WorkQueue) private readonly queue: WorkQueue,
-    @inject(Extensions) private readonly contributions: Extensions,
+    @inject(Extensions) private readonly registeredExtensions: Extensions,
     @inject(RunSettler) private readonly settler: RunSettler,
     @inject(Metrics) private readonly metrics: Metrics,
     @inject(tokens.settings) settings: Settings,
@@ -65,8 +65,8 @@
   async start (): Promise<void> {
     this.owners.subscribe(() => this.update())
     this.online.subscribe(server => this.batches.get(server)?.handle({ type: 'online', count: this.online.count(server) }))
-    this.watch.subscribe(server => this.batches.get(server)?.handle({ type: 'reported', sequences: this.watch.getReported(server) }))
-    for (const source of this.contributions.collect(batchSourcePoint)) source.subscribe(() => this.handleReady())
+    this.watch.subscribe(server => this.batches.get(server)?.handle({ type: 'reported', sequences: this.watch.getReportedSequences(server) }))
+    for (const source of this.registeredExtensions.collect(batchSourcePoint)) source.subscribe(() => this.handleReady())
     this.metrics.gauge('batch_streams', () => [...this.batches.values()].reduce((sum, batch) => sum + batch.count, 0))
     this.cancel = this.clock.every(CAPACITY_PERIOD, () => this.reportCapacity())
   }
@@ -120,7 +120,7 @@
       const capacity = this.watch.getState(server) === 'open' ? batch.capacity : 0
       for (const { service } of this.models.list(server)) capacities.set(service, (capacities.get(service) ?? 0) + capacity)
     }
-    for (const source of this.contributions.collect(batchSourcePoint)) for (const [service, count] of capacities) source.want(service, count)
+    for (const source of this.registeredExtensions.collect(batchSourcePoint)) for (const [service, count] of capacities) source.want(service, count)
     this.reportedServices = new Set(capacities.keys())
   }
 
--- a/src/ownership/server-watch.ts
+++ b/src/ownership/server-watch.ts
@@ -67,7 +67,7 @@
   }
 
   /** Returns the sequences running and waiting at the server by its last load report; 0 if its load isn't polled. */
-  getReported (server: string): number {
+  getReportedSequences (server: string): number {
     return this.results.get(server)?.sequences ?? 0
   }
 
--- a/src/ownership/work-queue.ts
+++ b/src/ownership/work-queue.ts
@@ -24,7 +24,7 @@
     @inject(ServedModels) private readonly models: ServedModels,
     @inject(Quarantine) private readonly quarantine: Quarantine,
     @inject(DispatchedItemRunner) private readonly itemRunner: DispatchedItemRunner,
-    @inject(Extensions) private readonly contributions: Extensions,
+    @inject(Extensions) private readonly registeredExtensions: Extensions,
     @inject(tokens.clock) private readonly clock: Clock
   ) {}
 
@@ -76,7 +76,7 @@
     const held = this.held.get(server)
     this.held.delete(server)
     if (held !== undefined) return held.work
-    for (const source of this.contributions.collect(batchSourcePoint)) {
+    for (const source of this.registeredExtensions.collect(batchSourcePoint)) {
       for (const { service } of this.models.list(server)) {
         const work = source.take(service)
         if (work !== undefined) return work
--- a/src/placement/slot-client.ts
+++ b/src/placement/slot-client.ts
@@ -144,7 +144,7 @@
   }
 
   /** Requests slots for batch items; the broker may grant none and sends no response then. */
-  askBatch (pool: string, { count, due, remaining }: BatchBid): void {
+  requestBatchSlots (pool: string, { count, due, remaining }: BatchBid): void {
     const group = this.chooseGroup(pool)
     const broker = this.map.findBroker(pool, group)
     const ask: SlotRequest = { work: 'batch', pool, group, avoided: this.loads.listUnavailable(pool), count, dueIn: due - this.clock.now(), remaining }
--- a/src/report/merge-lines.ts
+++ b/src/report/merge-lines.ts
@@ -1,5 +1,5 @@
 import type { AccountRows } from '../admission/account-rows.js'
-import { addCounts } from '../admission/add-counts.js'
+import { addAccountCounts } from '../admission/add-account-counts.js'
 import { noCounts } from '../admission/no-counts.js'
 import type { ReportLine } from './report-line.js'
 import { splitKey } from './split-key.js'
@@ -11,7 +11,7 @@
     const { caller, service, work } = splitKey(key)
     const name = findName(caller, service)
     const line = lines.get(name) ?? { name, online: noCounts, batch: noCounts }
-    lines.set(name, { ...line, [work]: addCounts(line[work], counts) })
+    lines.set(name, { ...line, [work]: addAccountCounts(line[work], counts) })
   }
   return [...lines.values()].sort((a, b) => a.name < b.name ? -1 : 1)
 }
--- a/src/routing/delivery.ts
+++ b/src/routing/delivery.ts
@@ -65,7 +65,7 @@
       }
       const refusal = this.plan(opened.val)
       if (refusal !== undefined) return Err(refusal)
-      if (opened.val.why === 'unreachable') await this.tools.sender.waitForLossReports(server)
+      if (opened.val.why === 'unreachable') await this.tools.sender.waitIfServerLost(server)
     }
   }
 
--- a/src/routing/dispatcher.ts
+++ b/src/routing/dispatcher.ts
@@ -80,7 +80,7 @@
       onTokens: ({ server }, tokens, isFirst, wait) => {
         if (isFirst) times.recordFirstToken(wait)
         else times.recordTokenGap(wait / tokens)
-        if (isFirst) this.servers.record(server.name, wait / model.firstToken, delivery.request.limit)
+        if (isFirst) this.servers.recordLatencyRatio(server.name, wait / model.firstToken, delivery.request.limit)
       },
       now: () => this.clock.now()
     })
@@ -102,7 +102,7 @@
       if (read.ok) {
         const { body, tokens } = read.val
         const { server, exchange: { status, headers } } = open
-        if (model !== undefined && tokens > 0) this.servers.record(server.name, (this.clock.now() - open.sentAt) / (model.firstToken + tokens * model.betweenTokens), delivery.request.limit)
+        if (model !== undefined && tokens > 0) this.servers.recordLatencyRatio(server.name, (this.clock.now() - open.sentAt) / (model.firstToken + tokens * model.betweenTokens), delivery.request.limit)
         const end = (whole: boolean): void => {
           open.end(whole ? 'answered' : 'abandoned')
           delivery.end(whole && status < 500)
--- a/src/routing/forwarding.ts
+++ b/src/routing/forwarding.ts
@@ -179,7 +179,7 @@
     if (body === undefined) return await this.fail(open, { why: 'cut', sent: true, detail: 'the answer broke off' })
     open.end('answered')
     if (status >= SERVER_ERROR && this.mayRetry()) {
-      this.tools.servers.observe(open.server.name, 'failed')
+      this.tools.servers.recordOutcome(open.server.name, 'failed')
       return { why: 'cut', sent: true, detail: `status ${status}` }
     }
     // The caller already has a status and part of a stream, so that another status can't be relayed.
@@ -245,7 +245,7 @@
     if (failure.sent) this.runs++
     this.tried.push(server)
     const { route } = this.request
-    const plan = planResend(failure, { idempotent: route.idempotent, resumable: route.resumable, begun: this.begun, runs: this.runs, attempts: route.attempts, sends: this.tried.length, gone: this.abort.signal.aborted })
+    const plan = planResend(failure, { idempotent: route.idempotent, resumable: route.resumable, begun: this.begun, runs: this.runs, attempts: route.attempts, sends: this.tried.length, abandoned: this.abort.signal.aborted })
     log.write('info', 'routing', 'a send failed', { request: this.request.id, server, why: failure.why, detail: failure.detail, sent: failure.sent, runs: this.runs, after: Math.round(clock.now() - this.request.arrived), next: plan })
     if (plan === 'send') return true
     this.finish(this.refuse(this.timedOut ? 'deadline' : 'server failed', failure.detail))
--- a/src/routing/plan-resend.ts
+++ b/src/routing/plan-resend.ts
@@ -15,7 +15,7 @@
   /** Sends so far. */
   readonly sends: number
   /** Whether the caller has left or the deadline has passed. */
-  readonly gone: boolean
+  readonly abandoned: boolean
 }
 
 /**
@@ -23,8 +23,8 @@
  * server. One that may have run is sent again only if its route is idempotent and allows another run. A stream that has
  * begun must also be resumable after its last event.
  */
-export function planResend (failure: SendFailure, { idempotent, resumable, begun, runs, attempts, sends, gone }: ResendState): 'send' | 'give up' {
-  if (gone || sends >= MAX_SENDS) return 'give up'
+export function planResend (failure: SendFailure, { idempotent, resumable, begun, runs, attempts, sends, abandoned }: ResendState): 'send' | 'give up' {
+  if (abandoned || sends >= MAX_SENDS) return 'give up'
   if (begun && !resumable) return 'give up'
   if (!failure.sent && runs === 0) return 'send'
   return idempotent && runs < attempts ? 'send' : 'give up'
--- a/src/routing/sender.ts
+++ b/src/routing/sender.ts
@@ -65,7 +65,7 @@
   }
 
   /** If the server's process has exited, waits for the other daemons' reports of what they had in flight there. */
-  async waitForLossReports ({ name, url }: BackendServer): Promise<void> {
+  async waitIfServerLost ({ name, url }: BackendServer): Promise<void> {
     if (await isServerGone(url)) await this.quarantine.waitForLossReports(name)
   }
 
@@ -82,7 +82,7 @@
       ended = true
       this.repeatable.delete(exchange)
       if (outcome === 'answered') this.quarantine.onServerAnswered(server.name)
-      if (outcome === 'answered') this.servers.observe(server.name, UNAVAILABLE_STATUSES.includes(exchange.status) ? 'failed' : 'answered')
+      if (outcome === 'answered') this.servers.recordOutcome(server.name, UNAVAILABLE_STATUSES.includes(exchange.status) ? 'failed' : 'answered')
       else exchange.abandon('abandoned')
       forget()
       release()
@@ -92,7 +92,7 @@
       if (ended) return
       this.timeline.record({ part: 'routing', what: 'send failed', request: request.id, server: server.name, detail: `${failure.why}: ${failure.detail}` })
       if (failure.why === 'abandoned' || failure.why === 'withheld') return end('abandoned')
-      this.servers.observe(server.name, failure.why === 'unreachable' ? 'unreachable' : 'failed')
+      this.servers.recordOutcome(server.name, failure.why === 'unreachable' ? 'unreachable' : 'failed')
       if (failure.why === 'cut') await this.probe(server)
       end('failed')
     }
@@ -119,7 +119,7 @@
 
   private async confirmLoss (server: BackendServer): Promise<void> {
     if (!await isServerGone(server.url)) return
-    this.servers.observe(server.name, 'unreachable')
+    this.servers.recordOutcome(server.name, 'unreachable')
     this.quarantine.onServerLost(server.name)
   }
 }
--- a/src/routing/servers.ts
+++ b/src/routing/servers.ts
@@ -124,14 +124,14 @@
   }
 
   /** Records the outcome of an exchange for the server's health. */
-  observe (server: string, event: 'answered' | 'failed' | 'unreachable'): void {
+  recordOutcome (server: string, event: 'answered' | 'failed' | 'unreachable'): void {
     const next = stepServerHealth(this.health.get(server), event, this.clock.now())
     if (next === undefined) this.health.delete(server)
     else this.health.set(server, next)
   }
 
   /** Records the ratio of an answer's time to its target for the server's adaptive limit, which starts at `highest`. */
-  record (server: string, ratio: number, highest: number): void {
+  recordLatencyRatio (server: string, ratio: number, highest: number): void {
     const limit = this.limits.get(server) ?? new AdaptiveLimit({ highest })
     this.limits.set(server, limit)
     limit.record({ ratio, inFlight: this.counts.get(server) ?? 0, now: this.clock.now() })
--- a/src/routing/sse-reader.ts
+++ b/src/routing/sse-reader.ts
@@ -1,7 +1,7 @@
 import { StringDecoder } from 'node:string_decoder'
 import type { SseEvent } from './sse-event.js'
 
-const END_OF_EVENT = /\r\n\r\n|\n\n|\r\r/
+const BLANK_LINE = /\r\n\r\n|\n\n|\r\r/
 const LINE_BREAK = /\r\n|\n|\r/
 
 /**
@@ -18,7 +18,7 @@
   push (bytes: Buffer): readonly SseEvent[] {
     this.buffered += this.decoder.write(bytes)
     const events: SseEvent[] = []
-    for (let end = END_OF_EVENT.exec(this.buffered); end !== null; end = END_OF_EVENT.exec(this.buffered)) {
+    for (let end = BLANK_LINE.exec(this.buffered); end !== null; end = BLANK_LINE.exec(this.buffered)) {
       const length = end.index + end[0].length
       events.push({ raw: this.buffered.slice(0, length), data: readData(this.buffered.slice(0, end.index)) })
       this.buffered = this.buffered.slice(length)
--- a/src/routing/step-progress.ts
+++ b/src/routing/step-progress.ts
@@ -22,7 +22,7 @@
   const choice = chunk.choices?.[0]
   const text = choice?.text ?? choice?.delta?.content
   const repeated = progress.id !== undefined && choice !== undefined && (text === undefined || text === '') && choice.finish_reason == null && isPlain(choice)
-  const usage = chunk.usage == null ? undefined : addCarried(chunk.usage, progress.earlierTokenCount)
+  const usage = chunk.usage == null ? undefined : addEarlierTokens(chunk.usage, progress.earlierTokenCount)
   const token = typeof text === 'string' && text !== '' ? text : undefined
   const next: StreamProgress = {
     tokenCount: progress.tokenCount + (token === undefined ? 0 : 1),
@@ -39,9 +39,9 @@
   return { progress: next, token, relay: changed ? `data: ${JSON.stringify({ ...chunk, id: next.id, ...(usage && { usage }) })}\n\n` : raw }
 }
 
-function addCarried (usage: Usage, carried: number): Usage {
+function addEarlierTokens (usage: Usage, earlierTokenCount: number): Usage {
   const { completion_tokens: completion = 0, total_tokens: total = 0 } = usage
-  return { ...usage, completion_tokens: completion + carried, total_tokens: total + carried }
+  return { ...usage, completion_tokens: completion + earlierTokenCount, total_tokens: total + earlierTokenCount }
 }
 
 /** Whether the choice contains only text. Tool calls and the like can't be continued from tokens. */
--- a/test/helpers/simulate-crashes.ts
+++ b/test/helpers/simulate-crashes.ts
@@ -129,7 +129,7 @@
         })
       })
     })
-    const sender = { send, waitForLossReports: async ({ name }: BackendServer) => { if (isDown(name)) await quarantine.waitForLossReports(name) } } as unknown as Sender
+    const sender = { send, waitIfServerLost: async ({ name }: BackendServer) => { if (isDown(name)) await quarantine.waitForLossReports(name) } } as unknown as Sender
     const fingerprintOf = (request: ServerRequest): string => fingerprints.get(request)!
     const fingerprints = new Map<ServerRequest, string>()
     return async request => {
--- a/test/jobs/job-runner.test.ts
+++ b/test/jobs/job-runner.test.ts
@@ -48,7 +48,7 @@
   }
   const runner = new JobRunner(
     { isOpen: () => true, markFull: () => {} } as unknown as ServerLoads,
-    { subscribe: (listener: typeof listeners[number]) => listeners.push(listener), askBatch: () => { asked++ } } as unknown as SlotClient,
+    { subscribe: (listener: typeof listeners[number]) => listeners.push(listener), requestBatchSlots: () => { asked++ } } as unknown as SlotClient,
     { send } as unknown as Sender,
     { find: () => ({ name: SERVER, url: '' }) } as unknown as Servers,
     configuration, new ItemDurationEstimator(), new PauseWatch(clock), new Metrics(), { buildHeaders: () => ({}) } as unknown as ServerDialect, { write: () => {} }, clock, new Random(1))
--- a/test/ownership/dispatched-items.test.ts
+++ b/test/ownership/dispatched-items.test.ts
@@ -22,7 +22,7 @@
   const models = { findLimit: () => 8, list: () => [{ service: 'bookings', model: { betweenTokens: 40 } }] }
   const dispatched = { run: async () => await new Promise<void>(resolve => clock.after(RUN_TIME, () => { done++; resolve() })) }
   const owners = { listOwned: () => ['s'], subscribe: () => {} }
-  const watch = { subscribe: () => {}, getState: () => 'open', getReported: () => 0 }
+  const watch = { subscribe: () => {}, getState: () => 'open', getReportedSequences: () => 0 }
   const online = { subscribe: () => {}, count: () => 0 }
   const metrics = { gauge: () => {}, count: () => {} }
   const queue = new WorkQueue(models as never, { check: () => 'clear' } as never, dispatched as never, added as never, clock)
--- a/test/ownership/held-items.test.ts
+++ b/test/ownership/held-items.test.ts
@@ -22,7 +22,7 @@
   const models = { findLimit: () => 8, list: () => [{ service: 'bookings', model: { betweenTokens: 40 } }] }
   const dispatched = { run: async ({ id }: BatchWork) => await new Promise<void>(resolve => clock.after(RUN_TIME, () => { done.push(id); resolve() })) }
   const owners = { listOwned: () => Object.keys(states), subscribe: () => {} }
-  const watch = { subscribe: () => {}, getState: (server: string) => states[server], getReported: () => 0 }
+  const watch = { subscribe: () => {}, getState: (server: string) => states[server], getReportedSequences: () => 0 }
   const queue = new WorkQueue(models as never, { check: () => 'clear' } as never, dispatched as never, added as never, clock)
   const runner = new BatchRunner(owners as never, watch as never, { subscribe: () => {}, count: () => 0 } as never, {} as never, {} as never, models as never, queue, added as never, {} as never, { gauge: () => {}, count: () => {} } as never, {} as never, clock)
   await runner.start()
@@ -43,7 +43,7 @@
   const models = { findLimit: () => 8, list: () => [{ service: 'bookings', model: { betweenTokens: 40 } }] }
   const dispatched = { run: async ({ id }: BatchWork) => { done.push(id) } }
   const owners = { listOwned: () => ['full', 'idle'], subscribe: () => {} }
-  const watch = { subscribe: () => {}, getState: () => 'open', getReported: () => 0 }
+  const watch = { subscribe: () => {}, getState: () => 'open', getReportedSequences: () => 0 }
   const online = { subscribe: () => {}, count: (server: string) => server === 'full' ? 8 : 0 }
   const queue = new WorkQueue(models as never, { check: () => 'clear' } as never, dispatched as never, added as never, clock)
   const runner = new BatchRunner(owners as never, watch as never, online as never, {} as never, {} as never, models as never, queue, added as never, {} as never, { gauge: () => {}, count: () => {} } as never, {} as never, clock)
--- a/test/ownership/last-tokens.test.ts
+++ b/test/ownership/last-tokens.test.ts
@@ -34,7 +34,7 @@
   const added = { collect: () => [{ subscribe: () => {}, want: () => {}, take: () => waiting.shift() }] }
   const models = { findLimit: () => 1, list: () => [{ service: 'drafts', model: { betweenTokens: 40, resume: true } }] }
   const owners = { listOwned: () => ['server-0'], subscribe: () => {} }
-  const watch = { subscribe: () => {}, getState: () => 'open', getReported: () => 0 }
+  const watch = { subscribe: () => {}, getState: () => 'open', getReportedSequences: () => 0 }
   const online = { subscribe: () => {}, count: () => 0 }
   const queue = new WorkQueue(models as never, { check: () => 'clear' } as never, {} as never, added as never, clock)
   const { container } = bench
--- a/test/placement/slot-broker.test.ts
+++ b/test/placement/slot-broker.test.ts
@@ -70,7 +70,7 @@
     })
   }
   for (let round = 0; round < 10; round++) {
-    for (const { client } of fleet.daemons.values()) client.askBatch('p', { count: 4, due: clock.now() + 9_000, remaining: 1_000 })
+    for (const { client } of fleet.daemons.values()) client.requestBatchSlots('p', { count: 4, due: clock.now() + 9_000, remaining: 1_000 })
     await clock.advance(20)
   }
   t.is(ends.length, 6 * 6)
@@ -179,14 +179,14 @@
   for (const [daemon, { client }] of fleet.daemons) client.subscribe({ onGrant: () => granted.push(daemon), onRevoke: () => {} })
   const ends = Array.from({ length: 4 }, () => fleet.begin('d0', 's0', 'online'))
   await clock.advance(1_100)
-  fleet.daemons.get('d1')!.client.askBatch('p', { count: 4, due: clock.now() + 15_000, remaining: 1_000 })
+  fleet.daemons.get('d1')!.client.requestBatchSlots('p', { count: 4, due: clock.now() + 15_000, remaining: 1_000 })
   await clock.advance(10)
-  fleet.daemons.get('d2')!.client.askBatch('p', { count: 4, due: clock.now() + 3_000, remaining: 1_000 })
+  fleet.daemons.get('d2')!.client.requestBatchSlots('p', { count: 4, due: clock.now() + 3_000, remaining: 1_000 })
   await clock.advance(10)
   t.deepEqual(granted, [])
   for (const end of ends.slice(0, 2)) end()
   await clock.advance(20)
-  fleet.daemons.get('d1')!.client.askBatch('p', { count: 4, due: clock.now() + 15_000, remaining: 1_000 })
+  fleet.daemons.get('d1')!.client.requestBatchSlots('p', { count: 4, due: clock.now() + 15_000, remaining: 1_000 })
   await clock.advance(10)
   t.is(granted[0], 'd2')
   t.true(granted.every(daemon => daemon === 'd2'))
--- a/test/routing/event-stream.test.ts
+++ b/test/routing/event-stream.test.ts
@@ -27,7 +27,7 @@
 }
 
 const failure = { why: 'cut', sent: true, detail: '' } as const
-const state = { idempotent: false, resumable: false, begun: false, runs: 1, attempts: 2, sends: 1, gone: false }
+const state = { idempotent: false, resumable: false, begun: false, runs: 1, attempts: 2, sends: 1, abandoned: false }
 const plans: ReadonlyArray<readonly [string, Partial<typeof failure> | { sent: false }, Partial<typeof state>, 'send' | 'give up']> = [
   ['not sent: any other server may run it', { sent: false }, { runs: 0 }, 'send'],
   ['not sent now, but it may have run before', { sent: false }, { runs: 1 }, 'give up'],
@@ -36,7 +36,7 @@
   ['it has run as often as the route allows', {}, { idempotent: true, runs: 2 }, 'give up'],
   ['a begun stream that can be resumed', {}, { idempotent: true, resumable: true, begun: true }, 'send'],
   ['a begun stream that can not be resumed', {}, { idempotent: true, begun: true }, 'give up'],
-  ['its caller has left', { sent: false }, { runs: 0, gone: true }, 'give up'],
+  ['its caller has left', { sent: false }, { runs: 0, abandoned: true }, 'give up'],
   ['the limit of sends is reached', { sent: false }, { runs: 0, sends: 6 }, 'give up']
 ]
 
