--- a/src/peers/member-queries.ts
+++ b/src/peers/member-queries.ts
@@ -58,9 +58,9 @@
     this.pending.stop()
   }
 
-  private async sendQuery (from: string): Promise<readonly [string, T] | undefined> {
+  private async sendQuery (to: string): Promise<readonly [string, T] | undefined> {
     const { links, requestType: type, timeout } = this.options
-    return await this.pending.open(from, timeout, id => links.send(from, { type, id }))
+    return await this.pending.open(to, timeout, id => links.send(to, { type, id }))
   }
 
   private async answer ({ id }: PeerMessage, from: string): Promise<void> {
--- a/src/peers/pending-calls.ts
+++ b/src/peers/pending-calls.ts
@@ -2,13 +2,13 @@
 
 /** Calls to other daemons that await an answer. Each settles once: with the answer of the daemon called, or undefined on timeout. */
 export class PendingCalls<T> {
-  private readonly waiting = new Map<number, { readonly from: string, readonly settle: (answer?: T) => void }>()
+  private readonly waiting = new Map<number, { readonly to: string, readonly settle: (answer?: T) => void }>()
   private calls = 0
 
   constructor (private readonly clock: Pick<Clock, 'after'>) {}
 
-  /** Calls `send` with the number of the call. Resolves with its answer, or undefined after `timeout` ms. */
-  async open (from: string, timeout: number, send: (call: number) => void): Promise<T | undefined> {
+  /** Starts a call to the daemon `to`: calls `send` with its number. Resolves with its answer, or undefined after `timeout` ms. */
+  async open (to: string, timeout: number, send: (call: number) => void): Promise<T | undefined> {
     const call = this.calls++
     return await new Promise(resolve => {
       const settle = (answer?: T): void => {
@@ -17,14 +17,14 @@
         resolve(answer)
       }
       const cancel = this.clock.after(timeout, settle)
-      this.waiting.set(call, { from, settle })
+      this.waiting.set(call, { to, settle })
       send(call)
     })
   }
 
   /** Returns whether the call is pending and was sent to `from`. */
   has (call: number, from: string): boolean {
-    return this.waiting.get(call)?.from === from
+    return this.waiting.get(call)?.to === from
   }
 
   settle (call: number, answer: T | undefined): void {
--- a/src/peers/session.ts
+++ b/src/peers/session.ts
@@ -93,7 +93,7 @@
     if (decoded.err) return decoded
     if (this.expected !== undefined) return this.verifyProof(decoded.val)
     const { v, from, nonce } = decoded.val
-    if (typeof v !== 'number' || v < OLDEST_VERSION) return Err(`the peer speaks version ${String(v)}, we need ${OLDEST_VERSION}`)
+    if (typeof v !== 'number' || v < OLDEST_VERSION) return Err(`unsupported protocol version ${String(v)}, the oldest supported one is ${OLDEST_VERSION}`)
     if (typeof from !== 'string' || !(nonce instanceof Uint8Array) || nonce.length !== NONCE_BYTES) return Err('a handshake has no name or no valid nonce')
     return this.options.to === undefined ? this.acceptHello(from, nonce, v) : this.acceptAnswer(from, nonce, decoded.val)
   }
--- a/src/placement/late-limiter.ts
+++ b/src/placement/late-limiter.ts
@@ -1,6 +1,6 @@
 /** Time constant of the average arrival rate, ms. */
 const WINDOW = 300
-/** After a pause of this length, ms, demand is estimated from arrivals alone for as long, until the observed peak is meaningful. */
+/** After this time without requests, ms, demand is estimated from arrivals alone for as long, until the observed peak is meaningful. */
 const RAMP = 2_000
 /** Time constant with which the peak of running requests decays, ms. */
 const PEAK_DECAY = 2_000
@@ -23,7 +23,7 @@
  */
 export class LateLimiter {
   private onTime = 0
-  /** Start of the current period without a long pause, and the last request in it. */
+  /** Start of the current period of activity, which ends after `RAMP` without requests, and the last request in it. */
   private activeSince = -Infinity
   private lastActiveAt = -Infinity
   /** Decaying peak of concurrent on-time requests, as of `peakAt`. */
--- a/src/placement/placement-request.ts
+++ b/src/placement/placement-request.ts
@@ -10,7 +10,7 @@
   readonly deadline: number
   /** Latest start at which a first event can reach its caller before the caller's timeout. */
   readonly beginBy: number
-  /** Target time to the answer or the first event, ms from `arrived`. */
+  /** Target time to the answer or the first event, ms. */
   readonly target: number
   readonly priority: number
   /** Time of its caller's first attempt. */
--- a/src/placement/server-loads.ts
+++ b/src/placement/server-loads.ts
@@ -73,7 +73,7 @@
     return this.own
   }
 
-  /** Excludes a server that refused a request as full for a short time. */
+  /** Excludes a server for a short time after it refused a request as full. */
   markFull (server: string): void {
     this.fullUntil.set(server, this.clock.now() + FULL_FOR)
     this.clock.after(FULL_FOR, () => this.notify())
--- a/src/routing/read-trial-options.ts
+++ b/src/routing/read-trial-options.ts
@@ -4,7 +4,7 @@
 
 /**
  * Shortest wait of a suspect for its trial, ms. Servers that fail together, as with a rack, are detected one after the
- * other; an innocent suspect tried at the next one to fail would be quarantined.
+ * other; a harmless request tried at the next one to fail would be quarantined.
  */
 const TRIAL_DELAY = 150
 
@@ -18,6 +18,6 @@
     alive: all.filter(({ state }) => state !== 'suspect').map(({ instance }) => instance.name),
     recentSuspects: suspects.map(({ fingerprint }) => fingerprint),
     lost: servers,
-    pause: TRIAL_DELAY
+    trialDelay: TRIAL_DELAY
   }
 }
--- a/src/routing/step-trials.ts
+++ b/src/routing/step-trials.ts
@@ -23,7 +23,7 @@
   /** Recently lost servers, where no trial is granted. */
   readonly lost?: readonly string[]
   /** Shortest time from the first ask to the trial, ms. */
-  readonly pause?: number
+  readonly trialDelay?: number
 }
 
 interface Grant { readonly id: string, readonly server: string }
@@ -72,11 +72,11 @@
 }
 
 function grant (state: TrialsState, options: StepOptions): { readonly state: TrialsState, readonly grants: readonly Grant[] } {
-  const { now, pause = 0, lost = [] } = options
+  const { now, trialDelay = 0, lost = [] } = options
   const running = new Map(state.running)
   const grants: Grant[] = []
   for (const { id, fingerprint, servers, since } of state.waiting) {
-    if (now - since < pause || !isReady(state, fingerprint, now - since, options)) continue
+    if (now - since < trialDelay || !isReady(state, fingerprint, now - since, options)) continue
     const taken = [...running.values()]
     if (taken.some(other => other.fingerprint === fingerprint)) continue
     const server = rankOwners(fingerprint, servers).find(name => !lost.includes(name) && !taken.some(other => other.server === name))
--- a/test/ownership/site-policy.test.ts
+++ b/test/ownership/site-policy.test.ts
@@ -13,8 +13,8 @@
  */
 const REACHED: Readonly<Record<string, { readonly ofIdle: number, readonly median: number }>> = { keelmoor: { ofIdle: 1.9, median: 1.1 }, clearplate: { ofIdle: 1.015, median: 1.122 } }
 
-// The server is idle for less than a second at a time. Batch that returns slowly leaves this time unused, and batch that fills all
-// slots delays the next online request by a long step.
+// Between bursts of online load, the server is idle for less than a second at a time. Batch that returns slowly leaves this time
+// unused, and batch that fills all slots delays the next online request by a long step.
 for (const site of sites) {
   test(`${site.name}: batch uses at least 0.9 of the idle capacity, and online tails stay within the bounds`, t => {
     const play = (policy: BatchPolicy, online = true): Array<ReturnType<typeof runSite>> => SEEDS.map(seed => runSite(site, policy, { length: LENGTH, seed, online }))
--- a/test/routing/step-trials.test.ts
+++ b/test/routing/step-trials.test.ts
@@ -78,10 +78,10 @@
   t.is(run([ask, 0], [ready('a'), 10], [{ type: 'hold', id: 'h', fingerprint: 'f', server: 'x' }, 15], [ready('b'), 20]), 0)
 })
 
-// Guards against the quarantine of an innocent request that is tried at the second of two servers failing together.
+// Guards against the quarantine of a harmless request that is tried at the second of two servers failing together.
 test('no trial is granted before the pause after the first ask', t => {
   const ask: TrialsEvent = { type: 'ask', id: '1', fingerprint: 'f', servers: SERVERS }
-  const options = { daemons: [], pause: 150 }
+  const options = { daemons: [], trialDelay: 150 }
   const first = step(EMPTY, ask, { ...options, now: 0 })
   t.deepEqual(first.grants, [])
   const second = step(first.state, ask, { ...options, now: 149 })
