--- a/src/admission/account-routes.ts
+++ b/src/admission/account-routes.ts
@@ -1,7 +1,7 @@
 import type { Request, Response } from '@tinyhttp/app'
 import { inject, Lifecycle, scoped } from 'tsyringe'
 import { ConfigurationHolder } from '../config/configuration-holder.js'
-import type { Route } from '../entry/route.js'
+import type { HttpRoute } from '../entry/http-route.js'
 import { routePoint } from '../entry/route-point.js'
 import { sendProblem } from '../entry/send-problem.js'
 import { sendJson } from '../http/send-json.js'
@@ -21,7 +21,7 @@
   readonly extensions = ([
     { method: 'get', path: '/operator/account', access: 'operator', handle: async (req, res) => await this.show(req, res) },
     { method: 'get', path: '/operator/callers', access: 'operator', handle: (_req, res) => this.listCallers(res) }
-  ] satisfies Route[]).map(route => routePoint.of(route))
+  ] satisfies HttpRoute[]).map(route => routePoint.of(route))
 
   constructor (
     @inject(AccountReader) private readonly reader: AccountReader,
--- a/src/batch/file-routes.ts
+++ b/src/batch/file-routes.ts
@@ -1,7 +1,7 @@
 import type { Request, Response } from '@tinyhttp/app'
 import { inject, Lifecycle, scoped } from 'tsyringe'
 import { ConfigurationHolder } from '../config/configuration-holder.js'
-import type { Route } from '../entry/route.js'
+import type { HttpRoute } from '../entry/http-route.js'
 import { routePoint } from '../entry/route-point.js'
 import { sendProblem } from '../entry/send-problem.js'
 import { readBody } from '../http/read-body.js'
@@ -38,7 +38,7 @@
     { method: 'get', path: '/v1/files/:id', access: 'caller', handle: async (req, res, caller) => await this.show(req, res, caller) },
     { method: 'delete', path: '/v1/files/:id', access: 'caller', handle: async (req, res, caller) => await this.delete(req, res, caller) },
     { method: 'get', path: '/v1/files/:id/content', access: 'caller', handle: async (req, res, caller) => await this.sendContent(req, res, caller) }
-  ] satisfies Route[]).map(route => routePoint.of(route))
+  ] satisfies HttpRoute[]).map(route => routePoint.of(route))
 
   private readonly budget = new UploadBudget(UPLOAD_MEMORY)
 
--- a/src/batch/held-chunk.ts
+++ b/src/batch/held-chunk.ts
@@ -12,7 +12,7 @@
 import type { Job } from './job.js'
 import { limitResult } from './limit-result.js'
 import { listRecorded } from './list-recorded.js'
-import { planRetry } from './plan-retry.js'
+import { planItemRetry } from './plan-item-retry.js'
 
 /** ms between attempts to read the chunk again. */
 const RECHECK_PAUSE = 500
@@ -150,7 +150,7 @@
   private takeBack (pending: Pending, why: Parameters<BatchWork['giveBack']>[0], { ran, tokens, server }: Parameters<BatchWork['giveBack']>[1]): void {
     if (!this.running.has(pending.item)) return
     const idempotent = this.options.items[pending.item]!.idempotent !== false
-    const plan = planRetry({ why, ran, idempotent, attempts: pending.attempts, server })
+    const plan = planItemRetry({ why, ran, idempotent, attempts: pending.attempts, server })
     if (plan.type === 'finish') return this.finish(pending.item, plan.result)
     this.running.delete(pending.item)
     if (this.state !== 'running') return this.takeBackWhileReleasing(pending)
--- a/src/batch/job-routes.ts
+++ b/src/batch/job-routes.ts
@@ -1,7 +1,7 @@
 import type { Request, Response } from '@tinyhttp/app'
 import { inject, Lifecycle, scoped } from 'tsyringe'
 import { Account } from '../admission/account.js'
-import type { Route } from '../entry/route.js'
+import type { HttpRoute } from '../entry/http-route.js'
 import { routePoint } from '../entry/route-point.js'
 import { sendProblem } from '../entry/send-problem.js'
 import { readBody } from '../http/read-body.js'
@@ -32,7 +32,7 @@
     { method: 'get', path: '/v1/batches', access: 'caller', handle: async (req, res, caller) => await this.list(req, res, caller) },
     { method: 'get', path: '/v1/batches/:id', access: 'caller', handle: async (req, res, caller) => await this.show(req, res, caller) },
     { method: 'post', path: '/v1/batches/:id/cancel', access: 'caller', handle: async (req, res, caller) => await this.cancel(req, res, caller) }
-  ] satisfies Route[]).map(route => routePoint.of(route))
+  ] satisfies HttpRoute[]).map(route => routePoint.of(route))
 
   constructor (
     @inject(FileStore) private readonly files: FileStore,
--- a/src/batch/plan-retry.ts
+++ b/src/batch/plan-item-retry.ts
@@ -26,7 +26,7 @@
  * neither load nor a restart makes an item fail. A non-idempotent item that may have run fails as unknown, because it
  * must not run twice.
  */
-export function planRetry ({ why, ran, idempotent, attempts, server }: ReturnedItem): RetryPlan {
+export function planItemRetry ({ why, ran, idempotent, attempts, server }: ReturnedItem): RetryPlan {
   if (ran && !idempotent) return finish('unknown', `it may have run at ${server}; it is not to be repeated`)
   if (why !== 'server failed') return { type: 'again', pause: 0, attempts }
   const failed = attempts + 1
--- a/src/config/configuration-routes.ts
+++ b/src/config/configuration-routes.ts
@@ -1,6 +1,6 @@
 import type { Request, Response } from '@tinyhttp/app'
 import { inject, Lifecycle, scoped } from 'tsyringe'
-import type { Route } from '../entry/route.js'
+import type { HttpRoute } from '../entry/http-route.js'
 import { routePoint } from '../entry/route-point.js'
 import { sendProblem } from '../entry/send-problem.js'
 import { readBody } from '../http/read-body.js'
@@ -30,7 +30,7 @@
     { method: 'get', path: '/operator/configuration/history', access: 'operator', handle: (_req, res) => this.showHistory(res) },
     { method: 'get', path: '/operator/configuration/reach', access: 'operator', handle: async (req, res) => sendJson(res, 200, await this.rollout.read(Number(req.query.version ?? this.holder.value.version))) },
     { method: 'put', path: '/operator/configuration', access: 'operator', handle: async (req, res) => await this.apply(req, res) }
-  ] satisfies Route[]).map(route => routePoint.of(route))
+  ] satisfies HttpRoute[]).map(route => routePoint.of(route))
 
   constructor (
     @inject(ConfigurationHolder) private readonly holder: ConfigurationHolder,
--- a/src/entry/entry-server.ts
+++ b/src/entry/entry-server.ts
@@ -18,7 +18,7 @@
 import { CallerConnections } from './caller-connections.js'
 import { handleClientError } from './handle-client-error.js'
 import { isOperator } from './is-operator.js'
-import type { Route } from './route.js'
+import type { HttpRoute } from './http-route.js'
 import { routePoint } from './route-point.js'
 import { sendProblem } from './send-problem.js'
 
@@ -74,7 +74,7 @@
     await this.connections.close()
   }
 
-  private addRoute (route: Route): void {
+  private addRoute (route: HttpRoute): void {
     this.app[route.method](route.path, async (req: Request, res: Response) => {
       const caller = this.admit(route, req, res)
       if (caller === undefined) return
@@ -87,7 +87,7 @@
     })
   }
 
-  private admit (route: Route, req: Request, res: Response): string | undefined {
+  private admit (route: HttpRoute, req: Request, res: Response): string | undefined {
     switch (route.access) {
       case 'public': return ''
       case 'operator': {
--- a/src/entry/route.ts
+++ b/src/entry/http-route.ts
@@ -4,7 +4,7 @@
 type Access = 'caller' | 'operator' | 'public'
 
 /** One route of the HTTP interface, contributed by a part. */
-export interface Route {
+export interface HttpRoute {
   readonly method: 'get' | 'post' | 'put' | 'delete' | 'all'
   readonly path: string
   readonly access: Access
--- a/src/entry/online-routes.ts
+++ b/src/entry/online-routes.ts
@@ -19,7 +19,7 @@
 import { findAccountEntry } from './find-account-entry.js'
 import type { KeyedOutcome } from './keyed-outcome.js'
 import { KeyedRequests } from './keyed-requests.js'
-import type { Route } from './route.js'
+import type { HttpRoute } from './http-route.js'
 import { routePoint } from './route-point.js'
 import { sendKeyedOutcome } from './send-keyed-outcome.js'
 import { sendProblem } from './send-problem.js'
@@ -39,7 +39,7 @@
     this.completionRoute('/v1/completions'),
     { method: 'get', path: '/v1/models', access: 'caller', handle: (_req, res) => this.listModels(res) },
     { method: 'all', path: '/services/:name/*', access: 'caller', handle: async (req, res, caller) => await this.callService(req, res, caller) }
-  ] satisfies Route[]).map(route => routePoint.of(route))
+  ] satisfies HttpRoute[]).map(route => routePoint.of(route))
 
   constructor (
     @inject(ConfigurationHolder) private readonly configuration: ConfigurationHolder,
@@ -50,7 +50,7 @@
     @inject(tokens.clock) private readonly clock: Clock
   ) {}
 
-  private completionRoute (path: string): Route {
+  private completionRoute (path: string): HttpRoute {
     return { method: 'post', path, access: 'caller', handle: async (req, res, caller) => await this.complete(req, res, caller, path) }
   }
 
--- a/src/entry/operator-routes.ts
+++ b/src/entry/operator-routes.ts
@@ -9,7 +9,7 @@
 import { tokens } from '../kernel/tokens.js'
 import { Members } from '../peers/members.js'
 import { InstanceList } from '../store/instance-list.js'
-import type { Route } from './route.js'
+import type { HttpRoute } from './http-route.js'
 import { routePoint } from './route-point.js'
 
 /** Routes for operators and probes: status, drain, liveness and readiness. */
@@ -20,7 +20,7 @@
     { method: 'post', path: '/operator/drain', access: 'operator', handle: (_req, res) => this.beginDrain(res) },
     { method: 'get', path: '/healthz', access: 'public', handle: (_req, res) => sendJson(res, 200, { status: 'ok' }) },
     { method: 'get', path: '/readyz', access: 'public', handle: (_req, res) => this.showReady(res) }
-  ] satisfies Route[]).map(route => routePoint.of(route))
+  ] satisfies HttpRoute[]).map(route => routePoint.of(route))
 
   constructor (
     @inject(ConfigurationHolder) private readonly configuration: ConfigurationHolder,
--- a/src/kernel/extension-point.ts
+++ b/src/kernel/extension-point.ts
@@ -5,7 +5,7 @@
  * from `Extensions`, in the order in which the parts were created.
  *
  * @example
- * const routePoint = new ExtensionPoint<Route>('routes')
+ * const routePoint = new ExtensionPoint<HttpRoute>('routes')
  * class Health implements Part { readonly extensions = [routePoint.of({ path: '/healthz', … })] }
  */
 export class ExtensionPoint<in out T> {
--- a/src/observe/observe-routes.ts
+++ b/src/observe/observe-routes.ts
@@ -1,6 +1,6 @@
 import type { Request, Response } from '@tinyhttp/app'
 import { inject, Lifecycle, scoped } from 'tsyringe'
-import type { Route } from '../entry/route.js'
+import type { HttpRoute } from '../entry/http-route.js'
 import { routePoint } from '../entry/route-point.js'
 import { sendJson } from '../http/send-json.js'
 import type { Part } from '../kernel/part.js'
@@ -16,7 +16,7 @@
   readonly extensions = ([
     { method: 'get', path: '/metrics', access: 'public', handle: (_req, res) => this.showMetrics(res) },
     { method: 'get', path: '/operator/timeline', access: 'operator', handle: (req, res) => this.showTimeline(req, res) }
-  ] satisfies Route[]).map(route => routePoint.of(route))
+  ] satisfies HttpRoute[]).map(route => routePoint.of(route))
 
   constructor (
     @inject(Metrics) private readonly metrics: Metrics,
--- a/src/ownership/owner-routes.ts
+++ b/src/ownership/owner-routes.ts
@@ -1,5 +1,5 @@
 import { inject, Lifecycle, scoped } from 'tsyringe'
-import type { Route } from '../entry/route.js'
+import type { HttpRoute } from '../entry/http-route.js'
 import { routePoint } from '../entry/route-point.js'
 import { sendJson } from '../http/send-json.js'
 import type { Part } from '../kernel/part.js'
@@ -14,7 +14,7 @@
 export class OwnerRoutes implements Part {
   readonly extensions = ([
     { method: 'get', path: '/operator/owned', access: 'operator', handle: (_req, res) => sendJson(res, 200, { owned: this.owners.listOwned() }) }
-  ] satisfies Route[]).map(route => routePoint.of(route))
+  ] satisfies HttpRoute[]).map(route => routePoint.of(route))
 
   constructor (@inject(ServerOwners) private readonly owners: ServerOwners) {}
 }
--- a/src/routing/quarantine-routes.ts
+++ b/src/routing/quarantine-routes.ts
@@ -1,5 +1,5 @@
 import { inject, Lifecycle, scoped } from 'tsyringe'
-import type { Route } from '../entry/route.js'
+import type { HttpRoute } from '../entry/http-route.js'
 import { routePoint } from '../entry/route-point.js'
 import { sendProblem } from '../entry/send-problem.js'
 import { sendJson } from '../http/send-json.js'
@@ -21,7 +21,7 @@
         else sendProblem(res, { status: 404, code: 'no-such-fingerprint', detail: 'nothing is held against it at this daemon' })
       }
     }
-  ] satisfies Route[]).map(route => routePoint.of(route))
+  ] satisfies HttpRoute[]).map(route => routePoint.of(route))
 
   constructor (@inject(Quarantine) private readonly quarantine: Quarantine) {}
 }
--- a/test/batch/retries.test.ts
+++ b/test/batch/retries.test.ts
@@ -1,7 +1,7 @@
 import 'reflect-metadata'
 import test from 'ava'
 import { Err } from 'ts-results'
-import { planRetry } from '../../src/batch/plan-retry.js'
+import { planItemRetry } from '../../src/batch/plan-item-retry.js'
 import { createTestJob } from './helpers/create-test-job.js'
 import { readLines } from './helpers/read-lines.js'
 import { Simulation } from './helpers/simulation.js'
@@ -17,10 +17,10 @@
     [{ ...given, why: 'aborted', attempts: 4 }, { type: 'again', pause: 0, attempts: 4 }],
     [{ ...given, idempotent: false, ran: false }, { type: 'again', pause: 200, attempts: 1 }]
   ] as const
-  for (const [back, plan] of table) t.deepEqual(planRetry(back), plan)
-  const over = planRetry({ ...given, attempts: 4 })
+  for (const [back, plan] of table) t.deepEqual(planItemRetry(back), plan)
+  const over = planItemRetry({ ...given, attempts: 4 })
   t.is(over.type === 'finish' && over.result.type === 'failed' && over.result.cause, 'server-failed')
-  const unknown = planRetry({ ...given, why: 'gave way', idempotent: false })
+  const unknown = planItemRetry({ ...given, why: 'gave way', idempotent: false })
   t.is(unknown.type === 'finish' && unknown.result.type === 'failed' && unknown.result.cause, 'unknown')
 })
 
--- a/test/entry/online-account.test.ts
+++ b/test/entry/online-account.test.ts
@@ -12,7 +12,7 @@
 import type { KeyedIndex } from '../../src/entry/keyed-index.js'
 import { KeyedRequests } from '../../src/entry/keyed-requests.js'
 import { OnlineRoutes } from '../../src/entry/online-routes.js'
-import type { Route } from '../../src/entry/route.js'
+import type { HttpRoute } from '../../src/entry/http-route.js'
 import { createAppServer } from '../../src/http/create-app-server.js'
 import { listen } from '../../src/http/listen.js'
 import { Random } from '../../src/kernel/random.js'
@@ -49,7 +49,7 @@
   const keyed = new KeyedRequests(gate, new KeyedClaims(new MemoryStore(), clock, new Metrics()), { add: () => {} } as unknown as KeyedIndex, members, timeline, settings, clock, new Random(1))
   const configuration = { value: { services: { desk: { kind: 'plain', pool: 'desks', idempotent: false } }, models: {}, limits: { bodyBytes: 1_000, deadline: 5_000 } } } as unknown as ConfigurationHolder
   const account = new Account()
-  const routes = new OnlineRoutes(configuration, gate, keyed, account, timeline, clock).extensions.map(({ value }) => value as Route)
+  const routes = new OnlineRoutes(configuration, gate, keyed, account, timeline, clock).extensions.map(({ value }) => value as HttpRoute)
   const { handle } = routes.find(({ path }) => path.startsWith('/services'))!
   const app = new App()
   app.all('/services/:name/*', async (req, res) => await handle(req, res, 'quay'))
--- a/test/routing/step-trials.test.ts
+++ b/test/routing/step-trials.test.ts
@@ -79,7 +79,7 @@
 })
 
 // Guards against the quarantine of a harmless request that is tried at the second of two servers failing together.
-test('no trial is granted before the pause after the first ask', t => {
+test('no trial is granted before the trial delay since the first ask has passed', t => {
   const ask: TrialsEvent = { type: 'ask', id: '1', fingerprint: 'f', servers: SERVERS }
   const options = { daemons: [], trialDelay: 150 }
   const first = step(EMPTY, ask, { ...options, now: 0 })
