--- a/bench/hunt/apply-trouble.ts
+++ b/bench/hunt/apply-trouble.ts
@@ -6,13 +6,13 @@
 import type { HuntFleet } from './hunt-fleet.js'
 import type { Trouble } from './trouble.js'
 
-/** ms by which the platform's instance list lags behind a death. */
-const LIST_LAG = 2_000
-const CUT_AFTER = 5
+/** Time in ms until the platform's instance list no longer has a killed process. */
+const INSTANCE_LIST_LAG = 2_000
+const CUT_AFTER_TOKENS = 5
 
 type Node = Fleet['daemons'][number]
 
-/** Brings a trouble about; resolves once it is over. */
+/** Applies a trouble to the fleet; resolves once it is over. */
 export async function applyTrouble (hunt: HuntFleet, trouble: Trouble): Promise<void> {
   const { fleet } = hunt
   switch (trouble.type) {
@@ -20,14 +20,14 @@
     case 'daemon replaced':
       await endProcess(fleet, `entry-${trouble.daemon}`)
       return await hunt.addDaemon(trouble.daemon)
-    case 'daemon frozen': return await pauseProcess(find(fleet.daemons, `entry-${trouble.daemon}`), trouble.lasting)
+    case 'daemon frozen': return await pauseProcess(findNode(fleet.daemons, `entry-${trouble.daemon}`), trouble.lasting)
     case 'daemon drained': return await drain(fleet, `entry-${trouble.daemon}`)
     case 'engine killed': return await endProcess(fleet, `engine-${trouble.engine}`)
-    case 'engine frozen': return await pauseProcess(find(fleet.servers, `engine-${trouble.engine}`), trouble.lasting)
-    case 'engine cuts answers': return await setFaults(find(fleet.servers, `engine-${trouble.engine}`), { cutAfter: CUT_AFTER, share: 0.5 }, trouble.lasting)
-    case 'open connections silent': return await setFaults(find(fleet.servers, `engine-${trouble.engine}`), { silenceOpen: 100 }, 0)
-    case 'service silent': return await setFaults(find(fleet.servers, `booking-${trouble.service}`), { silence: true }, trouble.lasting)
-    case 'service cuts answers': return await setFaults(find(fleet.servers, `booking-${trouble.service}`), { cut: true }, trouble.lasting)
+    case 'engine frozen': return await pauseProcess(findNode(fleet.servers, `engine-${trouble.engine}`), trouble.lasting)
+    case 'engine cuts answers': return await setFaults(findNode(fleet.servers, `engine-${trouble.engine}`), { cutAfter: CUT_AFTER_TOKENS, share: 0.5 }, trouble.lasting)
+    case 'open connections silent': return await setFaults(findNode(fleet.servers, `engine-${trouble.engine}`), { silenceOpen: 100 }, 0)
+    case 'service silent': return await setFaults(findNode(fleet.servers, `booking-${trouble.service}`), { silence: true }, trouble.lasting)
+    case 'service cuts answers': return await setFaults(findNode(fleet.servers, `booking-${trouble.service}`), { cut: true }, trouble.lasting)
     case 'regions parted':
       fleet.setPartitioned(true)
       await pause(trouble.lasting)
@@ -40,20 +40,20 @@
   }
 }
 
-function find (nodes: readonly Node[], name: string): Node {
+function findNode (nodes: readonly Node[], name: string): Node {
   return nodes.findLast(({ instance }) => instance.name === name)!
 }
 
 async function endProcess (fleet: Fleet, name: string): Promise<void> {
-  const { child } = find([...fleet.daemons, ...fleet.servers], name)
+  const { child } = findNode([...fleet.daemons, ...fleet.servers], name)
   child.signal('SIGKILL')
   await child.waitForExit()
-  await pause(LIST_LAG)
+  await pause(INSTANCE_LIST_LAG)
   await fleet.unregister(name)
 }
 
 async function drain (fleet: Fleet, name: string): Promise<void> {
-  const { child } = find(fleet.daemons, name)
+  const { child } = findNode(fleet.daemons, name)
   child.signal('SIGTERM')
   await child.waitForExit()
   await fleet.unregister(name)
--- a/bench/hunt/configuration-watch.ts
+++ b/bench/hunt/configuration-watch.ts
@@ -1,17 +1,17 @@
 import { request } from 'undici'
 import type { Fleet } from '../../harness/fleet.js'
 
-const PERIOD = 100
-const PATIENCE = 1_000
+const POLL_PERIOD = 100
+const REQUEST_TIMEOUT = 1_000
 
-/** Watches which configuration each run of a daemon acts on, and lets operators race for the next one. */
+/** Polls which configuration version each daemon process uses, and makes concurrent updates to it. */
 export class ConfigurationWatch {
   readonly accepted: number[] = []
   private readonly seen = new Map<string, number[]>()
   private readonly timer: NodeJS.Timeout
 
   constructor (private readonly fleet: Fleet) {
-    this.timer = setInterval(() => { void this.look() }, PERIOD)
+    this.timer = setInterval(() => { void this.poll() }, POLL_PERIOD)
   }
 
   get versions (): ReadonlyArray<{ readonly daemon: string, readonly versions: readonly number[] }> {
@@ -22,8 +22,8 @@
     clearInterval(this.timer)
   }
 
-  /** Two operators change the same version through two daemons at once; what each is told is noted. */
-  async race (round: number): Promise<void> {
+  /** Sends two concurrent updates of the same version through two daemons, and records the versions that are accepted. */
+  async raceUpdates (round: number): Promise<void> {
     const basedOn = Math.max(0, ...[...this.seen.values()].flat())
     await Promise.all(this.fleet.daemons.slice(0, 2).map(async (daemon, n) => {
       const put = { [`95-operator-${n}.yaml`]: `limits:\n  queueWait: ${500 + round * 10 + n}\n` }
@@ -32,12 +32,12 @@
     }))
   }
 
-  /** The version that each of these daemons acts on now; -1 where it doesn't answer. */
+  /** Returns the version that each of these daemons uses now, or -1 where it doesn't answer. */
   async readLast (daemons: Fleet['daemons']): Promise<readonly number[]> {
     return await Promise.all(daemons.map(async daemon => (await this.ask(this.fleet.url(daemon), 'GET', '/operator/configuration'))?.version ?? -1))
   }
 
-  private async look (): Promise<void> {
+  private async poll (): Promise<void> {
     await Promise.all(this.fleet.daemons.map(async ({ instance }) => {
       const answer = await this.ask(`http://${instance.host}:${instance.port}`, 'GET', '/operator/configuration')
       if (answer === undefined) return
@@ -54,7 +54,7 @@
         method,
         headers: { authorization: `Bearer ${this.fleet.operatorToken}` },
         body: body === undefined ? null : JSON.stringify(body),
-        signal: AbortSignal.timeout(method === 'GET' ? PATIENCE : PATIENCE * 15)
+        signal: AbortSignal.timeout(method === 'GET' ? REQUEST_TIMEOUT : REQUEST_TIMEOUT * 15)
       })
       const text = await response.body.text()
       return response.statusCode === 200 ? JSON.parse(text) : undefined
--- a/bench/soak/run-soak.ts
+++ b/bench/soak/run-soak.ts
@@ -7,30 +7,30 @@
 import type { SoakRecord } from './soak-record.js'
 import { soakSize } from './soak-size.js'
 
-/** What a soak saw, and what its daemons wrote to their logs. */
+/** The record of a soak and the log lines of its daemons. */
 interface SoakRun { readonly record: SoakRecord, readonly lines: readonly string[] }
 
-/** Brings the troubles of a seed on a fleet of processes under load. */
+/** Applies the troubles of a seed to a fleet of processes under load. */
 export async function runSoak (seed: number): Promise<SoakRun> {
   const soak = new SoakFleet(countDaemons(seed))
   const callers = new SoakCallers(soak)
   const jobs = new SoakJobs(soak)
   try {
     await soak.start()
-    const begun = soak.now()
-    const end = begun + soakSize.window + soakSize.tail
+    const loadStartedAt = soak.now()
+    const end = loadStartedAt + soakSize.window + soakSize.tail
     const troubles = planTroubles(seed).map(async trouble => {
-      await new Promise(resolve => setTimeout(resolve, begun + trouble.at - soak.now()))
+      await new Promise(resolve => setTimeout(resolve, loadStartedAt + trouble.at - soak.now()))
       await applyTrouble(soak, trouble)
     })
-    await Promise.all([callers.ask(end), jobs.submitAll(end), ...troubles])
-    await jobs.readAll(soak.now() + soakSize.finish)
+    await Promise.all([callers.sendAll(end), jobs.submitAll(end), ...troubles])
+    await jobs.readAll(soak.now() + soakSize.finishBound)
     await jobs.readEverywhere()
   } finally {
     await callers.close()
     await soak.stop()
   }
-  const engines = [...soak.fleet.engines, ...soak.pastEngines]
+  const engines = [...soak.fleet.engines, ...soak.stoppedEngines]
   const runs = engines.flatMap(({ id: engine, runs }) => runs.map(run => ({ ...run, engine })))
   const { versions, leaving, harmed, exits, lines } = soak
   return { record: { requests: callers.requests, runs, jobs: jobs.jobs, versions, leaving, harmed, exits }, lines }
--- a/harness/relayed-connection.ts
+++ b/harness/relayed-connection.ts
@@ -3,16 +3,16 @@
 import type { RelayMode } from './relay-mode.js'
 
 /**
- * A connection that the harness passes on between two processes, the opener's end first. What a mode holds back comes when the mode
- * is over, as TCP sends it again.
+ * A connection relayed between two processes; the first of `ends` is the opener's. Bytes that a mode holds back are forwarded when it
+ * ends, as TCP would retransmit them.
  */
 export class RelayedConnection {
   private mode: RelayMode = { type: 'open' }
   private ended = false
 
   constructor (private readonly ends: readonly [Socket, Socket]) {
-    this.join(ends[0], ends[1])
-    this.join(ends[1], ends[0])
+    this.pipe(ends[0], ends[1])
+    this.pipe(ends[1], ends[0])
   }
 
   get closed (): boolean {
@@ -38,18 +38,18 @@
     for (const end of this.ends) end.resetAndDestroy()
   }
 
-  /** While either way is held, the end of one side isn't passed on either. */
+  /** Whether a direction is held back; meanwhile, the close of one side isn't forwarded to the other. */
   private get isHeld (): boolean {
     return this.mode.type === 'silent' || this.mode.type === 'answers held'
   }
 
-  private join (from: Socket, to: Socket): void {
-    const way = new DelayedPipe(to)
-    from.on('data', bytes => way.write(bytes as Buffer, this.mode.type === 'delayed' ? this.mode.delay : 0))
+  private pipe (from: Socket, to: Socket): void {
+    const pipe = new DelayedPipe(to)
+    from.on('data', bytes => pipe.write(bytes as Buffer, this.mode.type === 'delayed' ? this.mode.delay : 0))
     from.on('error', () => {})
     from.on('close', () => {
       this.ended = true
-      if (!this.isHeld) way.close()
+      if (!this.isHeld) pipe.close()
     })
   }
 }
--- a/src/report/build-report.ts
+++ b/src/report/build-report.ts
@@ -1,4 +1,4 @@
-import { buildReportPart } from './build-report-part.js'
+import { buildPeriodReport } from './build-period-report.js'
 import { findAdvice } from './find-advice.js'
 import type { Report } from './report.js'
 import type { ReportDay } from './report-day.js'
@@ -7,15 +7,15 @@
 
 interface ReportOptions {
   readonly days: readonly ReportDay[]
-  /** As many days before. */
+  /** The days of the previous period. */
   readonly before: readonly ReportDay[]
   readonly callers: Readonly<Record<string, ReportedCaller>>
 }
 
-/** The report of a period beside the one before it. Teams and shares are those of the configuration now in force. */
+/** Builds the report of a period with the previous one for comparison. Teams are those of the configuration now in force. */
 export function buildReport ({ days, before, callers }: ReportOptions): Report {
-  const parts = { now: buildReportPart(days, callers), before: buildReportPart(before, callers) }
-  return { ...parts, refusals: listRefusals(parts.now.total, parts.before.total) }
+  const periods = { now: buildPeriodReport(days, callers), before: buildPeriodReport(before, callers) }
+  return { ...periods, refusals: listRefusals(periods.now.total, periods.before.total) }
 }
 
 function listRefusals (now: ReportLine, before: ReportLine): Report['refusals'] {
--- a/src/store/platform-client.ts
+++ b/src/store/platform-client.ts
@@ -20,41 +20,41 @@
 const CALL_TIMEOUT = 2_000
 const WATCH_SLACK = 1_000
 const MAX_SENDS = 3
-/** Sendings of a caller's write where its timeout begins short and doubles. */
-const CALLER_SENDS = 4
+/** Attempts for a caller's write under `callerTimeout`, which doubles with each. */
+const MAX_CALLER_SENDS = 4
 const RESEND_PAUSE = 100
 const CONFLICT = 409
-const FOUND = 300
+const REDIRECTION = 300
 
 interface PlatformClientOptions {
   readonly clock?: Clock
   readonly random?: Random
   readonly metrics?: Metrics
   /**
-   * The first timeout of a caller's call, ms, which doubles with each sending; the same as for all calls where it is left out.
-   * For callers who wait for some hundred ms: a reply that was lost would take all of that and more, and a store that is
-   * merely slow answers a later sending. Short, it takes a store that lacks processor time for one that lost its reply.
+   * First timeout of a caller's write, ms, which doubles with each attempt; a caller's read begins with twice this. Left out,
+   * all calls have the same timeout. For callers with short deadlines, whose time a lost reply would use up otherwise. A
+   * store that is slower than this gets calls again that it would have answered.
    */
   readonly callerTimeout?: number
-  /** Longest pause between two probes of a store that doesn't answer, ms. */
+  /** Longest delay between two probes of a store that doesn't answer, ms. */
   readonly maxProbeDelay?: number
-  /** What the platform serves to all daemons together, calls a second, where that is known. */
+  /** The platform's rate limits for all daemons together, calls a second, where they are known. */
   readonly fleetRates?: { readonly reads: number, readonly writes: number }
-  /** Ids of writes; unique in the fleet for ever. */
+  /** Creates the ids of writes, which must never repeat in the fleet. */
   readonly createId?: () => string
 }
 
 type Put = Extract<ApiCall, { type: 'put' }>
 
 /**
- * The platform's object API with what its failures ask for: a budget of calls, a circuit for outages, and a truthful
- * end to writes whose reply is lost.
+ * A client of the platform's object API with a call budget, a circuit breaker for outages, and a reliable outcome for
+ * writes whose reply is lost.
  *
- * A write without an answer may have taken effect, or may land later. It is sent again with the same id: as it is
- * conditional, at most one of the sendings takes effect, and once one has, none can land any more. A conflict after
- * that is settled by the id stored with the object: ours, and it was written; another's, and nobody can tell whether
- * ours came before it, so that the outcome is `unknown`. Where no sending is answered it is `unknown` as well.
- * `conflict`, `limited` and `unavailable` are said only of writes that have not taken effect and never will.
+ * A write without an answer may have taken effect, or may do so later. It is resent with the same id: as it is
+ * conditional, at most one attempt takes effect, and none can after that. A conflict on a later attempt is settled by the
+ * write id stored with the object: if it is this write's, the write succeeded; if it is another's, this write may have
+ * preceded it, so that the outcome is `unknown`. It is `unknown` too where no attempt is answered. `conflict`, `limited`
+ * and `unavailable` are returned only for writes that have not taken effect and never will.
  */
 export class PlatformClient implements ObjectStore {
   private readonly clock: Clock
@@ -63,25 +63,25 @@
   private readonly gate: CallGate
   private readonly callerTimeout: number | undefined
 
-  constructor (private readonly transport: ApiTransport, { clock = new SystemClock(), random = new Random(Date.now()), metrics = new Metrics(), createId = randomUUID, maxProbeDelay: lastProbe, callerTimeout, fleetRates }: PlatformClientOptions = {}) {
+  constructor (private readonly transport: ApiTransport, { clock = new SystemClock(), random = new Random(Date.now()), metrics = new Metrics(), createId = randomUUID, maxProbeDelay, callerTimeout, fleetRates }: PlatformClientOptions = {}) {
     this.clock = clock
     this.random = random
     this.createId = createId
     this.callerTimeout = callerTimeout
-    this.gate = new CallGate(transport, { clock, random, metrics, lastProbe, fleetRates })
+    this.gate = new CallGate(transport, { clock, random, metrics, maxProbeDelay, fleetRates })
   }
 
-  /** Another way to the platform for callers' calls: by a peer that sends them with `sendDirect`. */
+  /** Sets an alternative path to the platform for callers' calls: a peer that sends them with `sendDirect`. */
   useRelay (relay: Parameters<CallGate['useRelay']>[0]): void {
     this.gate.useRelay(relay)
   }
 
-  /** How many daemons share what the platform serves. */
+  /** Sets the source of the number of daemons that share the platform's rate. */
   useFleet (count: () => number): void {
     this.gate.useFleet(count)
   }
 
-  /** Sends another daemon's call once, straight to the platform. */
+  /** Sends another daemon's call once, directly to the platform. */
   async sendDirect (call: ApiCall, timeout: number): Promise<ApiAnswer> {
     return await this.gate.sendDirect(call, 'caller', timeout)
   }
@@ -103,10 +103,10 @@
     return readResult(answer).map(() => undefined)
   }
 
-  /** After a lost reply an object that is gone counts as deleted, whoever deleted it. */
+  /** After a lost reply, an object that no longer exists counts as deleted by this call. */
   async delete (kind: string, name: string, version: number, priority: CallPriority = 'background'): Promise<Result<void, StoreError>> {
     const { answer, lost } = await this.sendWrite({ type: 'delete', kind, name, version }, priority)
-    if (answer.type === 'answered' && answer.status < FOUND) return Ok(undefined)
+    if (answer.type === 'answered' && answer.status < REDIRECTION) return Ok(undefined)
     if (!lost) return readResult<undefined>(answer)
     if (answer.type === 'answered' && answer.status === CONFLICT && answer.body.version === 0) return Ok(undefined)
     return Err({ type: 'unknown', reason: 'no reply came, or the object has been written since' })
@@ -116,7 +116,7 @@
     return (await this.read<{ objects: StoredObject<T>[] }>({ type: 'list', kind, prefix, after, limit }, 'background')).map(({ objects }) => objects)
   }
 
-  /** A watch that fails is resumed by calling it again with the last revision. */
+  /** Waits for changes; to resume after a failure, call it again with the last revision. */
   async watch<T> (kind: string, revision: number, wait: number, priority: CallPriority = 'background'): Promise<Result<WatchBatch<T>, StoreError>> {
     return readResult(await this.gate.sendDirect({ type: 'watch', kind, revision, wait }, priority, wait + WATCH_SLACK))
   }
@@ -130,36 +130,39 @@
     await this.transport.close()
   }
 
-  /** A read without an answer is sent once more. */
+  /** Sends a read, and once more where it isn't answered. */
   private async read<T> (call: ApiCall, priority: CallPriority): Promise<Result<T, StoreError>> {
-    const short = priority === 'caller' ? this.callerTimeout : undefined
-    const answer = await this.gate.send(call, priority, short === undefined ? CALL_TIMEOUT : 2 * short)
+    const shortTimeout = priority === 'caller' ? this.callerTimeout : undefined
+    const answer = await this.gate.send(call, priority, shortTimeout === undefined ? CALL_TIMEOUT : 2 * shortTimeout)
     if (answer.type !== 'no answer') return readResult<T>(answer)
-    if (short === undefined) await this.pause()
-    return readResult<T>(await this.gate.send(call, priority, CALL_TIMEOUT, { relayed: short !== undefined || undefined }))
+    if (shortTimeout === undefined) await this.pause()
+    return readResult<T>(await this.gate.send(call, priority, CALL_TIMEOUT, { relayed: shortTimeout !== undefined || undefined }))
   }
 
-  /** Sends a write until it is answered, a caller's in turn straight and by way of a peer; `lost` says that an earlier sending may have taken effect. */
+  /**
+   * Sends a write until it is answered or its attempts are used up; under `callerTimeout` every second attempt goes through
+   * a peer. `lost` means that an earlier attempt may have taken effect.
+   */
   private async sendWrite (call: ApiCall, priority: CallPriority): Promise<{ readonly answer: ApiAnswer, readonly lost: boolean }> {
     let lost = false
-    const short = priority === 'caller' ? this.callerTimeout : undefined
-    const isRelayed = (send: number): boolean | undefined => short !== undefined && send % 2 === 0 ? true : undefined
+    const shortTimeout = priority === 'caller' ? this.callerTimeout : undefined
+    const isRelayed = (send: number): boolean | undefined => shortTimeout !== undefined && send % 2 === 0 ? true : undefined
     for (let sends = 1; ; sends++) {
-      const answer = await this.gate.send(call, priority, short === undefined ? CALL_TIMEOUT : short * 2 ** (sends - 1), { relayed: isRelayed(sends) })
-      const again = answer.type === 'no answer' || (lost && answer.type !== 'answered')
-      if (!again) return { answer, lost }
+      const answer = await this.gate.send(call, priority, shortTimeout === undefined ? CALL_TIMEOUT : shortTimeout * 2 ** (sends - 1), { relayed: isRelayed(sends) })
+      const mustResend = answer.type === 'no answer' || (lost && answer.type !== 'answered')
+      if (!mustResend) return { answer, lost }
       lost = true
-      const isLast = sends >= (short === undefined ? MAX_SENDS : CALLER_SENDS)
-      if (isLast || (this.gate.out && isRelayed(sends + 1) === undefined)) return { answer, lost }
-      if (short === undefined) await this.pause()
+      const isLast = sends >= (shortTimeout === undefined ? MAX_SENDS : MAX_CALLER_SENDS)
+      if (isLast || (this.gate.isOut && isRelayed(sends + 1) === undefined)) return { answer, lost }
+      if (shortTimeout === undefined) await this.pause()
     }
   }
 
-  /** `present` is the version that our write met; a read with a lower one is old and tells nothing. */
-  private async settlePut<T> ({ kind, name, writeId }: Put, present: number, priority: CallPriority): Promise<Result<StoredObject<T>, StoreError>> {
+  /** Settles a conflict that may be with an earlier attempt of the same write. A read below `currentVersion`, the version in the conflict, is stale. */
+  private async settlePut<T> ({ kind, name, writeId }: Put, currentVersion: number, priority: CallPriority): Promise<Result<StoredObject<T>, StoreError>> {
     const read = await this.read<StoredObject<T> & { writeId?: string }>({ type: 'get', kind, name }, priority)
     if (read.ok && read.val.writeId === writeId) return read
-    return Err({ type: 'unknown', reason: read.ok && read.val.version >= present ? 'no reply came, and the object has been written since' : 'no reply came, and reading back told nothing' })
+    return Err({ type: 'unknown', reason: read.ok && read.val.version >= currentVersion ? 'no reply came, and the object has been written since' : 'no reply came, and reading back told nothing' })
   }
 
   private async pause (): Promise<void> {
@@ -168,5 +171,5 @@
 }
 
 function readResult<T> (answer: ApiAnswer): Result<T, StoreError> {
-  return answer.type === 'answered' && answer.status < FOUND ? Ok(answer.body as T) : Err(readStoreError(answer))
+  return answer.type === 'answered' && answer.status < REDIRECTION ? Ok(answer.body as T) : Err(readStoreError(answer))
 }
--- a/stand-ins/platform/platform.ts
+++ b/stand-ins/platform/platform.ts
@@ -14,7 +14,7 @@
 const BODY_LIMIT = 2 * VALUE_LIMIT
 const MS_PER_SECOND = 1_000
 
-/** Options of the stand-in platform; rates in calls a second. */
+/** Options of the stand-in platform; rates in calls per second. */
 interface PlatformOptions { readonly writesPerSecond?: number, readonly readsPerSecond?: number, readonly faults?: PlatformFaults }
 
 type Call = 'reads' | 'writes'
@@ -23,13 +23,13 @@
 
 /**
  * A stand-in for the platform: object API with conditional updates and watches, and the instance list.
- * It counts every call, refuses those above its rates, and fails as POST /control/faults says.
+ * It counts every call, refuses those above its rates, and simulates the faults set by POST /control/faults.
  */
 export class Platform {
   readonly objects = new ObjectTable(Date.now)
   readonly instances = new History<ReadonlyMap<string, Instance>>(new Map())
   readonly counts = { reads: 0, writes: 0, watches: 0, refused: 0, failed: 0 }
-  /** Calls by what they were for, such as `get chunk`. */
+  /** Calls by method and kind of object, such as `get chunk`. */
   private readonly byKind = new Map<string, number>()
   private readonly server: Server
   private plan: FaultPlan
@@ -63,7 +63,7 @@
     this.server.closeAllConnections()
   }
 
-  /** Counts the call, then lets the outage, the rates and the slowness at it before `handle`. */
+  /** Counts the call and applies outage, rate limits and slowness to it before `handle`. */
   private checkCall (call: Call, handle: Handle): Handle {
     return async (req, res) => {
       this.counts[call]++
@@ -76,7 +76,7 @@
     }
   }
 
-  /** Fails the call as the outage says; a silent one is left open. */
+  /** Fails the call during an outage; a silent outage leaves it unanswered. */
   private refuseInOutage (res: Response): boolean {
     const { outage } = this.plan.faults
     if (outage === undefined) return false
@@ -86,7 +86,7 @@
     return true
   }
 
-  /** Answers 429 when the second's rate is used up. */
+  /** Answers 429 once the rate of the current second is used up. */
   private refuseOverRate (call: Call, res: Response): boolean {
     const at = Math.floor(Date.now() / MS_PER_SECOND)
     if (this.second.at !== at) this.second = { at, reads: 0, writes: 0 }
@@ -99,7 +99,7 @@
 
   private readObject (req: Request, res: Response): void {
     const { kind, name } = readTarget(req)
-    const age = this.plan.chooseAge()
+    const age = this.plan.chooseReadAge()
     const object = age === 0 ? this.objects.read(kind, name) : this.objects.readAt(kind, name, Date.now() - age)
     if (object === undefined) sendJson(res, 404, { error: 'no such object' })
     else sendJson(res, 200, object)
@@ -111,7 +111,7 @@
     const { value, version, writeId } = JSON.parse(body.val.toString())
     if (Buffer.byteLength(JSON.stringify(value)) > VALUE_LIMIT) return sendJson(res, 413, { error: `value over ${VALUE_LIMIT} bytes` })
     const { kind, name } = readTarget(req)
-    this.takeEffect(res, () => {
+    this.applyWrite(res, () => {
       const written = this.objects.write(kind, name, value, version, writeId)
       return typeof written === 'number' ? { status: 409, body: { error: 'version differs', version: written } } : { status: 200, body: written }
     })
@@ -119,25 +119,25 @@
 
   private removeObject (req: Request, res: Response): void {
     const { kind, name } = readTarget(req)
-    this.takeEffect(res, () => {
+    this.applyWrite(res, () => {
       if (this.objects.remove(kind, name, Number(req.query.version))) return { status: 200, body: {} }
       return { status: 409, body: { error: 'version differs', version: this.objects.read(kind, name)?.version ?? 0 } }
     })
   }
 
-  /** Runs a write now or later, and answers it unless its reply is to be lost. */
-  private takeEffect (res: Response, run: () => { readonly status: number, readonly body: unknown }): void {
-    const fate = this.plan.chooseWriteOutcome()
-    if (fate !== 'normal') this.counts.failed++
-    if (fate === 'delayed') setTimeout(run, this.plan.faults.delayedWrites!.delay)
-    const answer = fate === 'delayed' ? undefined : run()
-    if (fate === 'normal') sendJson(res, answer!.status, answer!.body)
+  /** Applies a write now or later, and answers it unless a fault loses the reply. */
+  private applyWrite (res: Response, run: () => { readonly status: number, readonly body: unknown }): void {
+    const outcome = this.plan.chooseWriteOutcome()
+    if (outcome !== 'normal') this.counts.failed++
+    if (outcome === 'delayed') setTimeout(run, this.plan.faults.delayedWrites!.delay)
+    const answer = outcome === 'delayed' ? undefined : run()
+    if (outcome === 'normal') sendJson(res, answer!.status, answer!.body)
     else res.socket?.destroy()
   }
 
   private listObjects (req: Request, res: Response): void {
     const { prefix = '', after = '', limit = '500' } = req.query as Record<string, string>
-    const age = this.plan.chooseAge()
+    const age = this.plan.chooseReadAge()
     const { kind = '' } = req.params
     const objects = age === 0
       ? this.objects.list(kind, prefix, after, Number(limit))
@@ -150,7 +150,7 @@
     if (this.plan.faults.silentWatches === true) return
     const kind = req.params.kind!
     const since = Number(req.query.revision)
-    const age = since < 0 ? this.plan.chooseAge() : 0
+    const age = since < 0 ? this.plan.chooseReadAge() : 0
     if (age > 0) return sendJson(res, 200, { revision: -1, changed: this.objects.listAt(kind, '', '', Infinity, Date.now() - age), deleted: [] })
     const answer = (): boolean => {
       const { changed, deleted } = this.objects.changesSince(kind, since)
@@ -160,10 +160,10 @@
     }
     if (answer()) return
     const stop = (): void => {
-      unlisten()
+      unsubscribe()
       clearTimeout(timer)
     }
-    const unlisten = this.objects.onChange(kind, () => this.plan.faults.outage === undefined && answer() && stop())
+    const unsubscribe = this.objects.onChange(kind, () => this.plan.faults.outage === undefined && answer() && stop())
     const timer = setTimeout(() => {
       stop()
       sendJson(res, 200, { revision: this.objects.revision, changed: [], deleted: [] })
--- a/test/store/platform-client.test.ts
+++ b/test/store/platform-client.test.ts
@@ -14,7 +14,7 @@
 const POLL = 500
 const OUTAGE = 15_000
 const SECOND = 1_000
-const FROM = 60_000
+const MEASURED_FROM = 60_000
 
 function start (seed = 1): { clock: VirtualClock, platform: MemoryTransport, connect: (n?: number) => PlatformClient } {
   const clock = new VirtualClock()
@@ -24,7 +24,7 @@
   return { clock, platform, connect }
 }
 
-/** Runs a call to its end on virtual time; gives back its result and how long it took. */
+/** Runs a call to its end on virtual time; returns its result and its duration in ms. */
 async function run<T> (clock: VirtualClock, call: Promise<T>): Promise<{ readonly result: T, readonly time: number }> {
   const began = clock.now()
   let result: { readonly value: T } | undefined
@@ -35,7 +35,7 @@
   }
 }
 
-test('the reply to a write is lost: it is sent again with its id, and took effect once', async t => {
+test('a write whose reply is lost is resent with its id and takes effect once', async t => {
   const { clock, platform, connect } = start()
   platform.setFaults({ lostReplies: 1 })
   const client = connect()
@@ -46,9 +46,9 @@
   t.is(platform.objects.revision, 1)
 })
 
-test('no reply ever comes, or another has written since: unknown, never a conflict', async t => {
-  // The caller sees "unknown". What happens: the write takes effect, its reply is lost, and before it is sent again
-  // another one overwrites it. Why: "conflict" would say that nothing was written, though it was.
+test('a write without a reply, or overwritten before it is resent, is unknown and never a conflict', async t => {
+  // The write takes effect, its reply is lost, and another one overwrites it before it is resent. "conflict" would mean that
+  // nothing was written, though it was.
   const { clock, platform, connect } = start()
   platform.setFaults({ lostReplies: 1 })
   const client = connect()
@@ -63,10 +63,10 @@
   t.is(platform.objects.read('k', 'b')?.value, 'late')
 })
 
-test('what is said of a write stays true, also once everything delayed has landed', async t => {
-  // The caller acts on the answer: "written" must be there, and a write refused as conflict, limited or unavailable
-  // must never show up. What happens: replies lost, writes landing late, rates and outages, three writers racing on two
-  // objects. Why: a write that landed after its refusal would revive what its writer has given up.
+test('the outcome of a write stays true after all delayed writes have been applied', async t => {
+  // Three writers race on two objects, with lost replies, delayed writes and rate limits. A write reported as written must
+  // be in the store, and one refused as conflict, limited or unavailable must never take effect later, after its writer has
+  // abandoned it.
   const step = fc.record({ writer: fc.nat(2), name: fc.constantFrom('a', 'b'), known: fc.nat(2), after: fc.integer({ min: 0, max: 400 }) })
   const faults: fc.Arbitrary<PlatformFaults> = fc.record({
     lostReplies: fc.constantFrom(0, 0.3, 0.6),
@@ -85,21 +85,21 @@
       return done
     }
     platform.setFaults(set)
-    const claims: Array<{ readonly value: string, readonly said: string }> = []
+    const outcomes: Array<{ readonly value: string, readonly outcome: string }> = []
     for (const [i, { writer, name, known, after }] of steps.entries()) {
       const version = Math.max(0, (platform.objects.read('k', name)?.version ?? 0) - known)
-      void clients[writer]!.put('k', name, `value-${i}`, version, 'caller').then(result => claims.push({ value: `value-${i}`, said: result.ok ? 'written' : result.val.type }))
+      void clients[writer]!.put('k', name, `value-${i}`, version, 'caller').then(result => outcomes.push({ value: `value-${i}`, outcome: result.ok ? 'written' : result.val.type }))
       await clock.advance(after)
     }
     await clock.advance(30_000)
-    const wrong = claims.find(({ value, said }) => said === 'written' ? !written.has(value) : said !== 'unknown' && written.has(value))
+    const wrong = outcomes.find(({ value, outcome }) => outcome === 'written' ? !written.has(value) : outcome !== 'unknown' && written.has(value))
     if (wrong !== undefined) throw new Error(JSON.stringify(wrong))
-    return claims.length === steps.length
+    return outcomes.length === steps.length
   }), { numRuns: 150, seed: 3 })
   t.pass()
 })
 
-test('in a silent outage the first writes wait, and then all are refused at once', async t => {
+test('in an outage without answers the first writes wait, and all later ones are refused at once', async t => {
   const { clock, platform, connect } = start()
   const client = connect()
   await run(clock, client.put('k', 'a', 1, 0))
@@ -117,7 +117,7 @@
   t.true((await run(clock, client.put('k', 'c', 1, 0, 'caller'))).result.ok)
 })
 
-/** Loops that read, and try again a quarter of a second after a failure, as the parts of a daemon do. */
+/** Starts loops that poll, and retry sooner after a failure, as the parts of a daemon do. */
 function startLoops (clock: VirtualClock, read: () => Promise<boolean>): void {
   const loop = async (): Promise<never> => {
     for (;;) {
@@ -159,7 +159,7 @@
   t.true(after.refused < before.refused / 10)
 })
 
-test('daemons that want much share the rate evenly, and few calls are refused', async t => {
+test('busy daemons share the rate evenly, and few calls are refused', async t => {
   const { clock, platform, connect } = start()
   platform.setFaults({ writesPerSecond: 100 })
   const counts = [0, 0, 0, 0]
@@ -167,21 +167,21 @@
     const client = connect(n)
     const loop = async (name: string): Promise<never> => {
       for (let i = 0; ; i++) {
-        if ((await client.put('k', `${name}-${i}`, 1, 0)).ok && clock.now() > FROM) counts[n]!++
+        if ((await client.put('k', `${name}-${i}`, 1, 0)).ok && clock.now() > MEASURED_FROM) counts[n]!++
       }
     }
     for (let i = 0; i < 4; i++) void loop(`${n}-${i}`)
   })
-  await clock.advance(FROM + 60 * SECOND)
+  await clock.advance(MEASURED_FROM + 60 * SECOND)
   const total = counts.reduce((sum, count) => sum + count, 0)
-  const refused = platform.calls.filter(({ at, refused }) => refused && at > FROM).length
-  t.log(`writes taken in 60 s: ${counts.join(', ')}; refused ${refused}`)
+  const refused = platform.calls.filter(({ at, refused }) => refused && at > MEASURED_FROM).length
+  t.log(`writes accepted in 60 s: ${counts.join(', ')}; refused ${refused}`)
   t.true(Math.max(...counts) < 1.3 * Math.min(...counts))
   t.true(total > 0.7 * 60 * 100)
   t.true(refused < 0.1 * total)
 })
 
-test('callers go before the background when the budget is short', async t => {
+test('callers\' writes precede background writes when the budget is short', async t => {
   const { clock, platform, connect } = start()
   platform.setFaults({ writesPerSecond: 20 })
   const client = connect()
@@ -189,11 +189,11 @@
     void (async () => { for (let j = 0; ; j++) await client.put('k', `back-${i}-${j}`, 1, 0) })()
   }
   await clock.advance(30 * SECOND)
-  let taken = 0
+  let accepted = 0
   for (let i = 0; i < 20; i++) {
-    if ((await run(clock, client.put('k', `caller-${i}`, 1, 0, 'caller'))).result.ok) taken++
+    if ((await run(clock, client.put('k', `caller-${i}`, 1, 0, 'caller'))).result.ok) accepted++
     await clock.advance(400)
   }
-  t.log(`${taken} of 20 callers' writes taken`)
-  t.true(taken >= 18)
+  t.log(`${accepted} of 20 callers' writes accepted`)
+  t.true(accepted >= 18)
 })
