--- a/test/batch/cancel-frozen.test.ts
+++ b/test/batch/cancel-frozen.test.ts
@@ -3,18 +3,18 @@
 import { BOUND, checkStopped, startJob } from './helpers/running-job.js'
 import { createClient } from './helpers/process-fleet.js'
 
-// A frozen holder misses the cancellation and resumes with items ready to run. It must check the job again before it
+// A paused holder misses the cancellation and resumes with items ready to run. It must check the job again before it
 // starts any.
-test('a job cancelled while a holder is frozen: the holder starts no item after it resumes', async t => {
+test('a job cancelled while a holder is paused: the holder starts no item after it resumes', async t => {
   const running = await startJob(t)
   const { fleet, holder } = running
-  const frozen = fleet.daemons[holder]!
+  const paused = fleet.daemons[holder]!
   const other = (holder + 1) % 3
-  t.teardown(() => frozen.child.signal('SIGKILL'))
-  frozen.child.signal('SIGSTOP')
+  t.teardown(() => paused.child.signal('SIGKILL'))
+  paused.child.signal('SIGSTOP')
   await createClient(fleet, other).batches.cancel(running.job)
   const acknowledged = Date.now()
   await fleet.waitUntil(async () => Date.now() > acknowledged + BOUND)
-  frozen.child.signal('SIGCONT')
+  paused.child.signal('SIGCONT')
   await checkStopped(t, running, other, acknowledged)
 })
--- a/test/batch/frozen-start.test.ts
+++ b/test/batch/frozen-start.test.ts
@@ -12,7 +12,7 @@
 import { Simulation } from './helpers/simulation.js'
 
 const BODY = '{"text":"whole"}'
-const FROZEN = 6_000
+const PAUSE = 6_000
 
 interface Bench { readonly simulation: Simulation, readonly bench: DispatchBench, readonly server: RawServer, readonly take: () => BatchWork }
 
@@ -30,9 +30,9 @@
   return { simulation, bench, server, take: () => simulation.daemons[0]!.source.take('drafts')! }
 }
 
-// The connection is established while the process is frozen. Guards against sending the request at the thaw before
+// The connection is established while the process is paused. Guards against sending the request on resumption before
 // the job has been checked again.
-test('an item that waits for its connection while the holder is frozen is not sent at the thaw', async t => {
+test('an item that waits for its connection while the holder is paused is not sent when it resumes', async t => {
   const { simulation, bench, server, take } = await start(t)
   const run = (): BatchRun => new BatchRun({
     work: take(),
@@ -43,9 +43,9 @@
     canResume: false,
     onTokens: () => {}
   })
-  const frozen = run().run()
-  simulation.clock.freeze(FROZEN)
-  t.deepEqual(await frozen, { type: 'withheld' })
+  const started = run().run()
+  simulation.clock.pause(PAUSE)
+  t.deepEqual(await started, { type: 'withheld' })
   t.is(server.requests.length, 0)
   await simulation.run(1)
   t.is((await run().run()).type, 'finished')
@@ -59,9 +59,9 @@
   const configuration = bench.container.resolve(ConfigurationHolder)
   configuration.offer({ ...configuration.value, version: 2, services: { drafts: { kind: 'model', pool: 'pool', model: 'model', idempotent: true } } })
   const run = async (): Promise<void> => await bench.container.resolve(DispatchedItemRunner).run(take())
-  const frozen = run()
-  simulation.clock.freeze(FROZEN)
-  await frozen
+  const started = run()
+  simulation.clock.pause(PAUSE)
+  await started
   t.is(server.requests.length, 0)
   await simulation.run(1)
   await run()
--- a/test/ownership/last-tokens.test.ts
+++ b/test/ownership/last-tokens.test.ts
@@ -34,7 +34,7 @@
   const added = { collect: () => [{ subscribe: () => {}, want: () => {}, take: () => waiting.shift() }] }
   const models = { findLimit: () => 1, list: () => [{ service: 'drafts', model: { betweenTokens: 40, resume: true } }] }
   const owners = { listOwned: () => ['server-0'], subscribe: () => {} }
-  const watch = { subscribe: () => {}, getState: () => 'open', getReported: () => 0 }
+  const watch = { subscribe: () => {}, getState: () => 'open', getReportedSequences: () => 0 }
   const online = { subscribe: () => {}, count: () => 0 }
   const queue = new WorkQueue(models as never, { check: () => 'clear' } as never, {} as never, added as never, clock)
   const { container } = bench
@@ -79,7 +79,7 @@
 test('a delayed event loop reads arrived data before it closes a run', async t => {
   const { clock, socket, runner, outcome } = await start(t)
   const drained = runner.drain()
-  clock.freeze(600)
+  clock.pause(600)
   await clock.advance(0)
   socket.end(HEAD + formatToken('one') + formatToken(' two', 'stop') + 'data: [DONE]\n\n')
   await drained
