--- a/bench/due/due-simulation.ts
+++ b/bench/due/due-simulation.ts
@@ -8,7 +8,7 @@
 import type { DueOrder } from './due-order.js'
 import type { DueRun } from './due-run.js'
 
-const CHUNK = 200
+const CHUNK = 200 // items
 /** Jobs that a daemon reads in one attempt to claim a chunk, as in src/batch/work-finder. */
 const MAX_JOBS_READ = 6
 /** Time in ms until a dead daemon's chunk is taken over and its servers have new owners. */
--- a/bench/hunt/configuration-watch.ts
+++ b/bench/hunt/configuration-watch.ts
@@ -1,8 +1,8 @@
 import { request } from 'undici'
 import type { Fleet } from '../../harness/fleet.js'
 
-const POLL_PERIOD = 100
-const REQUEST_TIMEOUT = 1_000
+const POLL_PERIOD = 100 // ms
+const REQUEST_TIMEOUT = 1_000 // ms
 
 /** Polls which configuration version each daemon process uses, and makes concurrent updates to it. */
 export class ConfigurationWatch {
--- a/bench/hunt/run-hunt.ts
+++ b/bench/hunt/run-hunt.ts
@@ -10,14 +10,14 @@
 import { planTroubles } from './plan-troubles.js'
 import type { Trouble } from './trouble.js'
 
-const DEADLINE = 8_000
-const CALL_TIMEOUT = 20_000
-const REQUEST_PERIOD = 40
-const RESUBMIT_AT = 2_000
-const CANCEL_AT = 4_000
-const CANCEL_LATEST = 14_000
+const DEADLINE = 8_000 // ms
+const CALL_TIMEOUT = 20_000 // ms
+const REQUEST_PERIOD = 40 // ms
+const RESUBMIT_AT = 2_000 // ms
+const CANCEL_AT = 4_000 // ms
+const CANCEL_LATEST = 14_000 // ms
 const RACE_TIMES = [1_500, 5_500]
-const RECOVERY_TIME = 6_000
+const RECOVERY_TIME = 6_000 // ms
 const KINDS = ['stream', 'booking', 'whole', 'plain'] as const
 
 /** Applies the troubles of a seed to a fleet under online and batch load, and returns the record for the checks. */
--- a/bench/policy/policy-simulation.ts
+++ b/bench/policy/policy-simulation.ts
@@ -14,9 +14,9 @@
 import { Schedule } from './schedule.js'
 import type { SimulationOptions } from './simulation-options.js'
 
-const HOP = 0.5
-const COALESCE = 3
-const TICK = 50
+const HOP = 0.5 // ms
+const COALESCE = 3 // ms
+const TICK = 50 // ms
 const REPORT_PERIOD = 500
 const ITEM_SIZES: ItemSizes = { prompt: { from: 100, spread: 400 }, answer: { from: 50, spread: 200 } }
 
--- a/bench/soak/count-daemons.ts
+++ b/bench/soak/count-daemons.ts
@@ -1,4 +1,4 @@
-const SMALL_FLEET = 4
+const SMALL_FLEET = 4 // daemons
 /** Large enough that brokers grant the slots; smaller fleets exchange their in-flight counts directly. */
 const LARGE_FLEET = 14
 const LARGE_EVERY = 3
--- a/bench/soak/soak-jobs.ts
+++ b/bench/soak/soak-jobs.ts
@@ -5,8 +5,8 @@
 
 const ACCEPTED = 202
 const MAX_ATTEMPTS = 4
-const ATTEMPT_TIMEOUT = 4_000
-const READ_PERIOD = 500
+const ATTEMPT_TIMEOUT = 4_000 // ms
+const READ_PERIOD = 500 // ms
 /** Every n-th job is cancelled by its caller, and every n-th has an item that always fails. */
 const CANCEL_EVERY = 4
 const IMPOSSIBLE_EVERY = 3
--- a/harness/fleet.ts
+++ b/harness/fleet.ts
@@ -15,7 +15,7 @@
 const HOST = '127.0.0.1'
 const REGION = 'region-1'
 const OPERATOR_TOKEN = 'operator-of-the-trial'
-const POLL_PERIOD = 20
+const POLL_PERIOD = 20 // ms
 /** Polls before a wait times out: 20 s of pauses, plus the time that the polls take. */
 const MAX_POLLS = 1_000
 /** Longest wait, ms: below the test runner's timeout, so that a failed wait reports its condition. */
--- a/src/batch/expiry-index.ts
+++ b/src/batch/expiry-index.ts
@@ -6,7 +6,7 @@
 import { createObject } from './create-object.js'
 import type { Expiry } from './expiry.js'
 
-const PAGE = 100
+const PAGE = 100 // objects
 const DAY_LENGTH = 'yyyy-mm-dd'.length
 
 /**
--- a/src/batch/read-page.ts
+++ b/src/batch/read-page.ts
@@ -1,4 +1,4 @@
-const DEFAULT_LIMIT = 20
+const DEFAULT_LIMIT = 20 // rows
 const MAX_LIMIT = 100
 
 /** Parses the query of a listing: the id after which the page begins, and its maximum length. */
--- a/src/batch/work-index.ts
+++ b/src/batch/work-index.ts
@@ -7,7 +7,7 @@
 import type { Job } from './job.js'
 import type { WorkEntry } from './work-entry.js'
 
-const PAGE = 500
+const PAGE = 500 // objects
 const TIME_DIGITS = 13
 
 /**
--- a/src/commands/apply.ts
+++ b/src/commands/apply.ts
@@ -12,7 +12,7 @@
 
 const HTTP_CONFLICT = 409
 const HTTP_GATEWAY_TIMEOUT = 504
-const POLL_PERIOD = 250
+const POLL_PERIOD = 250 // ms
 const MS_PER_SECOND = 1_000
 
 /** The changes that a folder makes to the active version. */
--- a/src/config/configuration-distribution.ts
+++ b/src/config/configuration-distribution.ts
@@ -35,10 +35,10 @@
 const PEERS_PER_TICK = 2
 const GOSSIP_FANOUT = 4
 const WATCHERS_PER_DOMAIN = 2
-const WATCH_TIMEOUT = 5_000
-const REREAD_PERIOD = 30_000
-const RETRY_DELAY = 250
-const MAX_START_WAIT = 500
+const WATCH_TIMEOUT = 5_000 // ms
+const REREAD_PERIOD = 30_000 // ms
+const RETRY_DELAY = 250 // ms
+const MAX_START_WAIT = 500 // ms
 const PARALLEL_READS = 8
 
 const versionOptions = {
--- a/src/coordination/membership.ts
+++ b/src/coordination/membership.ts
@@ -16,7 +16,7 @@
 
 const { buildStep, sendTo, listOthers, chooseSome, setRecord } = membershipOperations
 
-const JOIN_FANOUT = 3
+const JOIN_FANOUT = 3 // members
 
 /**
  * Returns the next state of a member and the messages to send, any of which may be lost. Membership by random probes
--- a/src/coordination/step-version.ts
+++ b/src/coordination/step-version.ts
@@ -26,8 +26,8 @@
 
 type Options<Part> = Required<VersionOptions<Part>>
 
-const ASK_TIMEOUT = 200
-const DIGEST_PERIOD = 1_000
+const ASK_TIMEOUT = 200 // ms
+const DIGEST_PERIOD = 1_000 // ms
 const MESSAGE_BYTES = 400_000
 const STORE_PARTS = 8
 const MAX_ASKED_PARTS = 200
--- a/src/entry/entry-server.ts
+++ b/src/entry/entry-server.ts
@@ -22,8 +22,8 @@
 import { routePoint } from './route-point.js'
 import { sendProblem } from './send-problem.js'
 
-const HEADERS_TIMEOUT = 10_000
-const TIMEOUT_CHECK = 1_000
+const HEADERS_TIMEOUT = 10_000 // ms
+const TIMEOUT_CHECK = 1_000 // ms
 /** Above the announced timeout of 5 s, so that callers close idle connections first. */
 const KEEP_ALIVE_TIMEOUT = 15_000
 const NOT_READY_RETRY = 1_000
--- a/src/entry/keyed-claims.ts
+++ b/src/entry/keyed-claims.ts
@@ -12,9 +12,9 @@
 import type { KeyedClaim } from './keyed-claim.js'
 
 const KIND = 'keyed'
-const RETRY_PERIOD = 1_000
+const RETRY_PERIOD = 1_000 // ms
 const MAX_UNSETTLED = 1_000
-const STOP_TIMEOUT = 5_000
+const STOP_TIMEOUT = 5_000 // ms
 /** How long after its call a write may still take effect, ms. */
 const LATE_WRITE_TIME = 10_000
 
--- a/src/entry/online-routes.ts
+++ b/src/entry/online-routes.ts
@@ -25,7 +25,7 @@
 import { sendProblem } from './send-problem.js'
 import { sendRefusal } from './send-refusal.js'
 
-const PLAIN_LIMIT = 64
+const PLAIN_LIMIT = 64 // requests in flight per server
 const KEY_LENGTH = 255
 const STREAM_TYPE = 'text/event-stream'
 
--- a/src/entry/routed-entry.ts
+++ b/src/entry/routed-entry.ts
@@ -29,8 +29,8 @@
 import { sendRoutedRefusal } from './send-routed-refusal.js'
 import { StartWait } from './start-wait.js'
 
-const HEADERS_TIMEOUT = 10_000
-const TIMEOUT_CHECK = 1_000
+const HEADERS_TIMEOUT = 10_000 // ms
+const TIMEOUT_CHECK = 1_000 // ms
 const MAX_HEADER_BYTES = 65_536
 /** Keep-alive timeout announced to callers, s, and the actual one, ms, which is longer so that callers close first. */
 const KEEP_ALIVE = 20
--- a/src/entry/send-keyed-outcome.ts
+++ b/src/entry/send-keyed-outcome.ts
@@ -5,7 +5,7 @@
 import { sendProblem } from './send-problem.js'
 import { sendRefusal } from './send-refusal.js'
 
-const IN_PROGRESS_RETRY = 2_000
+const IN_PROGRESS_RETRY = 2_000 // ms
 
 /** Sends the outcome of a keyed request. A replayed answer carries `idempotency-replayed: true`. */
 export async function sendKeyedOutcome (res: ServerResponse, outcome: KeyedOutcome): Promise<void> {
--- a/src/fleet/fleet-watch.ts
+++ b/src/fleet/fleet-watch.ts
@@ -32,7 +32,7 @@
 
 const CONFIGURATION = 'configuration'
 const INSTANCES = 'instances'
-const CHECK_PERIOD = 500
+const CHECK_PERIOD = 500 // ms
 /** Minimum interval between requests for missing changes, ms; a gap shows in the messages of several watchers at once. */
 const MIN_REQUEST_INTERVAL = 250
 
--- a/src/jobs/job-adoption.ts
+++ b/src/jobs/job-adoption.ts
@@ -13,7 +13,7 @@
 import type { KnownJob } from './known-job.js'
 import { readKnownJob } from './read-known-job.js'
 
-const CHECK_PERIOD = 500
+const CHECK_PERIOD = 500 // ms
 /** Delay before reading the stored headers again after a failure, ms. */
 const RETRY_DELAY = 300
 /** How long after its start a daemon without any known members assumes that it is the only one, ms. */
--- a/src/jobs/job-checkpointer.ts
+++ b/src/jobs/job-checkpointer.ts
@@ -11,7 +11,7 @@
 import type { OwnedJob } from './owned-job.js'
 import { splitProgress } from './split-progress.js'
 
-const CHECK_PERIOD = 500
+const CHECK_PERIOD = 500 // ms
 /** Events since the last checkpoint of a job that cause the next one. A lower value loses less and writes more often. */
 const CHECKPOINT_EVENTS = 500
 /** Minimum time between two checkpoints of a job, ms, which bounds the writes however many of its items run. */
--- a/src/jobs/job-cleaner.ts
+++ b/src/jobs/job-cleaner.ts
@@ -13,7 +13,7 @@
 import { JobRecords } from './job-records.js'
 import type { KnownJob } from './known-job.js'
 
-const PERIOD = 10_000
+const PERIOD = 10_000 // ms
 /** Added to the retention time of results, ms: covers clock skew and the time between submission and acceptance. */
 const CLOCK_MARGIN = 60_000
 
--- a/src/jobs/job-reader.ts
+++ b/src/jobs/job-reader.ts
@@ -24,7 +24,7 @@
 const CALL_SLACK = 300
 /** Maximum number of jobs whose stored results are cached; stored results never change. */
 const MAX_CACHED = 100
-const MAX_WAIT = 1_000
+const MAX_WAIT = 1_000 // ms
 /** Attempts to make sure that a stored job runs, and the delay between two, ms: together longer than most outages of the store. */
 const RUN_ATTEMPTS = 120
 const RUN_PAUSE = 500
--- a/src/load/run-load.ts
+++ b/src/load/run-load.ts
@@ -4,7 +4,7 @@
 import type { LoadOutcome } from './load-outcome.js'
 import { sendArrival } from './send-arrival.js'
 
-const TICK_PERIOD = 2
+const TICK_PERIOD = 2 // ms
 const MS_PER_SECOND = 1_000
 
 /** `urls` is called for each attempt, so that addresses may change during a run. */
--- a/src/load/send-arrival.ts
+++ b/src/load/send-arrival.ts
@@ -3,7 +3,7 @@
 import type { Arrival } from './arrival.js'
 import type { LoadOutcome } from './load-outcome.js'
 
-const TIMEOUT = 60_000
+const TIMEOUT = 60_000 // ms
 const END_OF_STREAM = 'data: [DONE]'
 
 /** Sends one planned request to an entry address and reads its whole answer. Never throws: a failure is returned as an outcome. */
--- a/src/observe/build-timeline-page.ts
+++ b/src/observe/build-timeline-page.ts
@@ -2,10 +2,10 @@
 import { formatOffset } from './format-offset.js'
 import type { TimelineEvent } from './timeline-event.js'
 
-const ROW_HEIGHT = 22
-const LANE_WIDTH = 170
-const TIME_WIDTH = 90
-const HEADER_HEIGHT = 30
+const ROW_HEIGHT = 22 // px
+const LANE_WIDTH = 170 // px
+const TIME_WIDTH = 90 // px
+const HEADER_HEIGHT = 30 // px
 const DOT_COLOUR = '#36c'
 
 const STYLE = 'body{font:13px system-ui,sans-serif;margin:1.5em;color:#222}text{font:12px system-ui,sans-serif}line{stroke:#ccc}.time{fill:#777}'
--- a/src/observe/metrics.ts
+++ b/src/observe/metrics.ts
@@ -2,7 +2,7 @@
 import { Lifecycle, scoped } from 'tsyringe'
 
 const QUANTILES = [50, 95, 99, 99.9] as const
-const HIGHEST_VALUE = 3_600_000
+const HIGHEST_VALUE = 3_600_000 // ms
 const MICROS_PER_MS = 1_000
 
 type Labels = Readonly<Record<string, string>>
--- a/src/ownership/batch-runner.ts
+++ b/src/ownership/batch-runner.ts
@@ -24,8 +24,8 @@
 import type { StartedRun } from './started-run.js'
 import { WorkQueue } from './work-queue.js'
 
-const TICK_PERIOD = 50
-const CAPACITY_PERIOD = 500
+const TICK_PERIOD = 50 // ms
+const CAPACITY_PERIOD = 500 // ms
 /** How long after the last item the runner keeps ticking, ms; after that it ticks with each capacity report only. */
 const ACTIVE_PERIOD = 60_000
 
--- a/src/ownership/server-orders.ts
+++ b/src/ownership/server-orders.ts
@@ -17,7 +17,7 @@
 import { ServerOwners } from './server-owners.js'
 import type { ServerState } from './server-state.js'
 
-const RECONCILE_PERIOD = 500
+const RECONCILE_PERIOD = 500 // ms
 /** Timeout of an order, ms; must be less than `longestAction` of the claims. */
 const ORDER_TIMEOUT = 1_500
 const STATE_TIMEOUT = 400
--- a/src/ownership/server-owners.ts
+++ b/src/ownership/server-owners.ts
@@ -17,7 +17,7 @@
 import type { ObjectStore } from '../store/object-store.js'
 import { OwnerTable } from './owner-table.js'
 
-const REFRESH_PERIOD = 200
+const REFRESH_PERIOD = 200 // ms
 const ENTRY_POOL = 'entry'
 const CLAIM_KIND = 'owner'
 
--- a/src/ownership/server-view-publisher.ts
+++ b/src/ownership/server-view-publisher.ts
@@ -18,7 +18,7 @@
 import { ServerOwners } from './server-owners.js'
 import { ServerWatch } from './server-watch.js'
 
-const CHECK_PERIOD = 100
+const CHECK_PERIOD = 100 // ms
 /** Number of periods without an update after which a view is dropped, since its owner may be gone. */
 const MISSED_PERIODS = 4
 const MESSAGE_TYPE = 'views'
--- a/src/ownership/server-watch.ts
+++ b/src/ownership/server-watch.ts
@@ -14,8 +14,8 @@
 import { ServerOwners } from './server-owners.js'
 import { stepHealth } from './step-health.js'
 
-const POLL_PERIOD = 500
-const POLL_TIMEOUT = 400
+const POLL_PERIOD = 500 // ms
+const POLL_TIMEOUT = 400 // ms
 /** How late a check may time out and still count as failed, ms; beyond that, this daemon itself was delayed. */
 const LATE_MARGIN = 200
 /** Keeps connections open over several polls, ms; an unresponsive connection is closed by the poll that times out on it. */
--- a/src/store/instance-list.ts
+++ b/src/store/instance-list.ts
@@ -9,7 +9,7 @@
 import { listSeeds } from './list-seeds.js'
 import type { ObjectStore } from './object-store.js'
 
-const POLL_PERIOD = 1_000
+const POLL_PERIOD = 1_000 // ms
 /** Time without a list or confirmation from a reader after which a daemon reads from the platform itself, ms. */
 const READER_TIMEOUT = 6_000
 
--- a/src/store/platform-client.ts
+++ b/src/store/platform-client.ts
@@ -17,7 +17,7 @@
 import type { StoredObject } from './stored-object.js'
 import type { WatchBatch } from './watch-batch.js'
 
-const CALL_TIMEOUT = 2_000
+const CALL_TIMEOUT = 2_000 // ms
 const WATCH_SLACK = 1_000
 const MAX_ATTEMPTS = 3
 /** Attempts for a caller's write under `callerTimeout`, which doubles with each. */
--- a/stand-ins/engine/engine.ts
+++ b/stand-ins/engine/engine.ts
@@ -14,7 +14,7 @@
 import { writeStream } from './write-stream.js'
 import { writeFullAnswer } from './write-full-answer.js'
 
-const BODY_LIMIT = 4_000_000
+const BODY_LIMIT = 4_000_000 // bytes
 const CRASH_CODE = 70
 const IMPOSSIBLE = '[impossible]'
 
--- a/stand-ins/machines/object-api.ts
+++ b/stand-ins/machines/object-api.ts
@@ -5,8 +5,8 @@
 import type { StoredObject } from '../../src/store/stored-object.js'
 import { ObjectTable } from '../platform/object-table.js'
 
-const MAX_BODY = 2_000_000
-const PAGE = 500
+const MAX_BODY = 2_000_000 // bytes
+const PAGE = 500 // objects
 const PATH = /^\/api\/objects\/([^/]+)(?:\/([^/]+))?(\/status)?$/
 
 /** Faults of the store; an absent field is no fault. */
--- a/stand-ins/platform/platform.ts
+++ b/stand-ins/platform/platform.ts
@@ -10,7 +10,7 @@
 import { ObjectTable } from './object-table.js'
 import type { PlatformFaults } from './platform-faults.js'
 
-const VALUE_LIMIT = 1_000_000
+const VALUE_LIMIT = 1_000_000 // bytes
 const BODY_LIMIT = 2 * VALUE_LIMIT
 const MS_PER_SECOND = 1_000
 
--- a/stand-ins/service/service.ts
+++ b/stand-ins/service/service.ts
@@ -8,7 +8,7 @@
 import type { RunRecord } from '../engine/run-record.js'
 import type { ServiceFaults } from './service-faults.js'
 
-const BODY_LIMIT = 1_000_000
+const BODY_LIMIT = 1_000_000 // bytes
 const CRASH_CODE = 70
 
 /** A stand-in plain service: echoes each request after `delay` ms and logs its run, also to `runFile`, which survives the process. */
