--- a/harness/machines-fleet.ts
+++ b/harness/machines-fleet.ts
@@ -13,7 +13,7 @@
 import { Child } from './child.js'
 
 const PROGRAM = [process.execPath, 'target/citronwheel.cjs']
-/** Of a wait for a condition and of the pause between two checks, ms. */
+/** Timeout of a wait for a condition, and the pause between two checks, ms. */
 const WAIT_TIMEOUT = 20_000
 const POLL_PERIOD = 20
 /** Ports of daemons lie below those that the system assigns to outgoing connections. */
--- a/stand-ins/machines/event-engine.ts
+++ b/stand-ins/machines/event-engine.ts
@@ -3,7 +3,7 @@
 import { readBody } from '../../src/http/read-body.js'
 import { sendJson } from '../../src/http/send-json.js'
 
-const MAX_BODY = 2_000_000
+const MAX_BODY = 2_000_000 // bytes
 /** Paths of requests that always fail. */
 const IMPOSSIBLE = /\/impossible$/
 
