--- a/bench/hunt/hunt-caller.ts
+++ b/bench/hunt/hunt-caller.ts
@@ -7,8 +7,8 @@
 const MODEL = 'berth-assistant'
 const TOKENS = 24
 const MAX_ATTEMPTS = 10
-const MAX_PAUSE = 2_000
-const MIN_PAUSE = 100
+const MAX_PAUSE = 2_000 // ms
+const MIN_PAUSE = 100 // ms
 /** Time in ms for which an address that gave no response is avoided while there are others. */
 const AVOID_TIME = 2_000
 const MS_PER_SECOND = 1_000
--- a/bench/hunt/hunt-jobs.ts
+++ b/bench/hunt/hunt-jobs.ts
@@ -7,7 +7,7 @@
 
 const MODEL = 'berth-assistant'
 const TOKENS = 30
-const POLL_PERIOD = 200
+const POLL_PERIOD = 200 // ms
 /** Attempts of a call, made at the entry addresses in turn. */
 const MAX_ATTEMPTS = 60
 /** Time in ms after the acknowledgement and the last trouble from which no item of a cancelled job may start. */
--- a/bench/policy/policy-simulation.ts
+++ b/bench/policy/policy-simulation.ts
@@ -17,7 +17,7 @@
 const HOP = 0.5 // ms
 const COALESCE = 3 // ms
 const TICK = 50 // ms
-const REPORT_PERIOD = 500
+const REPORT_PERIOD = 500 // ms
 const ITEM_SIZES: ItemSizes = { prompt: { from: 100, spread: 400 }, answer: { from: 50, spread: 200 } }
 
 /** Simulates one server, its owner and an endless batch backlog on virtual time. */
--- a/src/batch/caller-index.ts
+++ b/src/batch/caller-index.ts
@@ -5,7 +5,7 @@
 import type { StoreError } from '../store/store-error.js'
 import { createObject } from './create-object.js'
 
-/** Times are subtracted from it so that the newest sort first. */
+/** Wall-clock times in ms are subtracted from it, so that the newest sort first. */
 const LAST_TIME = 9_999_999_999_999
 
 /** The properties of a file or job that its entry is made from. */
--- a/src/batch/read-page.ts
+++ b/src/batch/read-page.ts
@@ -1,5 +1,5 @@
 const DEFAULT_LIMIT = 20 // rows
-const MAX_LIMIT = 100
+const MAX_LIMIT = 100 // rows
 
 /** Parses the query of a listing: the id after which the page begins, and its maximum length. */
 export function readPage (query: Readonly<Record<string, unknown>>): { readonly after?: string, readonly limit: number } {
--- a/src/entry/keyed-index.ts
+++ b/src/entry/keyed-index.ts
@@ -11,10 +11,10 @@
 import type { KeyedClaim } from './keyed-claim.js'
 
 const KIND = 'keyed-day'
-const DAY = 86_400_000
-const FLUSH_PERIOD = 60_000
-const FLUSH_AT = 1_000
-const SWEEP_PERIOD = 600_000
+const DAY = 86_400_000 // ms
+const FLUSH_PERIOD = 60_000 // ms
+const FLUSH_AT = 1_000 // names
+const SWEEP_PERIOD = 600_000 // ms
 /** Pause between two removals, ms: limits them to 5 background writes a second. */
 const REMOVE_PAUSE = 200
 /** Maximum number of lists of names in one read, each up to about 65 KB. */
--- a/src/fleet/daemon-directory.ts
+++ b/src/fleet/daemon-directory.ts
@@ -13,7 +13,7 @@
 import { listSeeds } from '../store/list-seeds.js'
 
 const KIND = 'daemons'
-const RETRY = 500
+const RETRY = 500 // ms
 
 /**
  * Addresses of the other daemons, from the store. Each daemon registers its own address once and then reads the others', with the
--- a/src/store/list-pages.ts
+++ b/src/store/list-pages.ts
@@ -3,7 +3,7 @@
 import type { StoreError } from './store-error.js'
 import type { StoredObject } from './stored-object.js'
 
-const PAGE_SIZE = 100
+const PAGE_SIZE = 100 // objects
 
 /** Yields all objects of a kind in pages, and ends after an error. Objects written meanwhile may be missed. */
 export async function * listPages<T> (store: ObjectStore, kind: string, { prefix = '', page = PAGE_SIZE } = {}): AsyncGenerator<Result<ReadonlyArray<StoredObject<T>>, StoreError>> {
--- a/src/store/platform-client.ts
+++ b/src/store/platform-client.ts
@@ -18,7 +18,7 @@
 import type { WatchBatch } from './watch-batch.js'
 
 const CALL_TIMEOUT = 2_000 // ms
-const WATCH_SLACK = 1_000
+const WATCH_SLACK = 1_000 // ms
 const MAX_ATTEMPTS = 3
 /** Attempts for a caller's write under `callerTimeout`, which doubles with each. */
 const MAX_CALLER_ATTEMPTS = 4
